--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -13,11 +13,11 @@
 std::size_t heap_bytes() { return mallinfo2().uordblks + mallinfo2().hblkhd; }
 
 Fleet full(std::size_t machines, const Policy& policy = {}) {
-  FleetShape shape;
-  shape.machines = machines;
-  shape.pending = machines * pending_per_machine;
-  shape.policy = policy;
-  Fleet f{std::move(shape)};
+  FleetShape kind;
+  kind.machines = machines;
+  kind.pending = machines * pending_per_machine;
+  kind.policy = policy;
+  Fleet f{std::move(kind)};
   f.fill();
   return f;
 }
@@ -32,7 +32,7 @@
     state.PauseTiming();
     f.pass(1);
     f.complete(20);
-    for (const auto& r : f.reports(static_cast<std::size_t>(state.range(0)))) f.report(r);
+    for (const auto& r : f.heartbeats(static_cast<std::size_t>(state.range(0)))) f.report(r);
     state.ResumeTiming();
     const auto began = std::chrono::steady_clock::now();
     f.round();
@@ -42,9 +42,9 @@
     state.ResumeTiming();
   }
   state.counters["longest_ms"] = longest * 1000;
-  state.counters["rows"] = static_cast<double>(f.scheduler().last_round().rows);
-  state.counters["columns"] = static_cast<double>(f.scheduler().last_round().columns);
-  state.counters["victims"] = static_cast<double>(f.scheduler().last_round().victims);
+  state.counters["rows"] = static_cast<double>(f.scheduler().last_cycle().jobs);
+  state.counters["columns"] = static_cast<double>(f.scheduler().last_cycle().machines);
+  state.counters["victims"] = static_cast<double>(f.scheduler().last_cycle().preemption_candidates);
 }
 
 // Everything is busy: a round that finds nothing to do but looks for it.
@@ -53,7 +53,7 @@
   for (auto _ : state) {
     state.PauseTiming();
     f.pass(1);
-    for (const auto& r : f.reports(static_cast<std::size_t>(state.range(0)))) f.report(r);
+    for (const auto& r : f.heartbeats(static_cast<std::size_t>(state.range(0)))) f.report(r);
     state.ResumeTiming();
     f.round();
   }
@@ -64,7 +64,7 @@
   for (auto _ : state) {
     state.PauseTiming();
     f.pass(1);
-    const auto reports = f.reports(1000);
+    const auto reports = f.heartbeats(1000);
     state.ResumeTiming();
     for (const auto& r : reports) f.report(r);
   }
@@ -72,7 +72,7 @@
 
 void take_over(benchmark::State& state) {
   Fleet f = full(static_cast<std::size_t>(state.range(0)));
-  const auto rows = f.rows();
+  const auto rows = f.jobs();
   for (auto _ : state) {
     auto s = f.load(rows);
     benchmark::DoNotOptimize(s);
@@ -90,9 +90,9 @@
   double whole_mb = 0;
   for (auto _ : state) {
     const auto empty = heap_bytes();
-    FleetShape shape;
-    shape.machines = n;
-    Fleet bare{std::move(shape)};
+    FleetShape kind;
+    kind.machines = n;
+    Fleet bare{std::move(kind)};
     const auto with_machines = heap_bytes();
     const auto rows_before = bare.scheduler().jobs().size();
     benchmark::DoNotOptimize(rows_before);
--- a/bench/fleet.hpp
+++ b/bench/fleet.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 
 namespace martenwall::bench {
 
@@ -27,27 +27,27 @@
 
 class Fleet {
  public:
-  explicit Fleet(FleetShape shape);
+  explicit Fleet(FleetShape kind);
   // Rounds and reports until nothing more can be placed.
   void fill();
   // An array of one-CPU tasks for machines without GPUs, or a gang of whole machines with them.
   JobId add_array(std::uint32_t tasks);
   JobId add_gang(std::uint32_t tasks);
-  [[nodiscard]] JobSpec next_spec(Shape shape, std::uint32_t tasks, Rank rank);
+  [[nodiscard]] JobSpec next_spec(JobKind kind, std::uint32_t tasks, Priority priority);
   // Reports in which `count` tasks of machines without GPUs have just ended.
-  std::vector<WorkerReport> ends(std::size_t count);
+  std::vector<Heartbeat> ends(std::size_t count);
   // Tasks on one machine in `part` complete, and their ends are reported and stored.
   void complete(std::size_t part);
   // Reports of the next `count` machines, in turn; each is sent by its worker as things stand.
-  std::vector<WorkerReport> reports(std::size_t count);
-  void report(const WorkerReport& r);
+  std::vector<Heartbeat> reports(std::size_t count);
+  void report(const Heartbeat& r);
   void round();
   void store_all();
   void pass(double s) { now_ += seconds(s); }
   // Everything that a successor reads, handed over in the order in which it is loaded.
   struct Rows {
     std::vector<Job> jobs;
-    std::vector<MachineFacts> machines;
+    std::vector<MachineRecord> machines;
     std::vector<TaskRow> tasks;
   };
   [[nodiscard]] Rows rows() const;
@@ -65,15 +65,15 @@
   struct Worker {
     MachineId id;
     std::string type, zone;
-    std::uint64_t tick = 0;
+    std::uint64_t sequence = 0;
     std::vector<Task> tasks;
   };
   void add_machines(std::size_t count);
   void add_jobs(std::size_t pending);
   void add_job(JobSpec spec);
-  void execute(Worker& w, const std::vector<Order>& orders);
-  WorkerReport report_of(Worker& w);
-  [[nodiscard]] Scheduler::Setup setup() const;
+  void execute(Worker& w, const std::vector<Command>& commands);
+  Heartbeat report_of(Worker& w);
+  [[nodiscard]] Scheduler::Options options() const;
 
   [[nodiscard]] std::string team(std::size_t n) const { return "team-" + std::to_string(n % shape_.teams); }
   [[nodiscard]] std::string zone(std::size_t n) const { return "zone-" + std::to_string(n % shape_.zones); }
--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -6,11 +6,11 @@
 #include <chrono>
 
 #include "fleet.hpp"
-#include "service/final_memory.hpp"
+#include "service/finished_job_cache.hpp"
 #include "stand_ins/worker_model.hpp"
+#include "wire/heartbeat_codec.hpp"
 #include "wire/peer_codec.hpp"
-#include "wire/report_codec.hpp"
-#include "wire/state_codec.hpp"
+#include "wire/store_codec.hpp"
 #include "wire/user_codec.hpp"
 #include "wire/worker_codec.hpp"
 
@@ -63,11 +63,11 @@
   rules.add(spec, 1000, Time{});
   stand_ins::WorkerModel worker{
       world, {MachineId{"i-100000"}, "10.1.0.232:9000", "small-0", "zone-3", false, {1e3, 0, 1e4}}, Time{}};
-  nlohmann::json orders = nlohmann::json::array();
+  nlohmann::json commands = nlohmann::json::array();
   for (std::size_t i = 0; i < tasks; ++i) {
-    orders.push_back({{"verb", "run"}, {"shard", "job-100000/" + std::to_string(i)}, {"try", i + 1}});
+    commands.push_back({{"verb", "run"}, {"shard", "job-100000/" + std::to_string(i)}, {"try", i + 1}});
   }
-  const nlohmann::json command{{"baton", 7}, {"tenure", 1}, {"orders", orders}};
+  const nlohmann::json command{{"baton", 7}, {"tenure", 1}, {"orders", commands}};
   worker.commands(command, Time{});
   worker.tick(Time{seconds(1)}, false);
   return worker.report();
@@ -85,7 +85,7 @@
   const auto texts = report_texts(amount(state), usual_tasks);
   for (auto _ : state) {
     timed(state, [&] {
-      for (const auto& t : texts) benchmark::DoNotOptimize(wire::parse_report(t));
+      for (const auto& t : texts) benchmark::DoNotOptimize(wire::parse_heartbeat(t));
     });
   }
 }
@@ -94,7 +94,7 @@
   const auto texts = report_texts(1000, amount(state));
   for (auto _ : state) {
     timed(state, [&] {
-      for (const auto& t : texts) benchmark::DoNotOptimize(wire::parse_report(t));
+      for (const auto& t : texts) benchmark::DoNotOptimize(wire::parse_heartbeat(t));
     });
   }
 }
@@ -110,7 +110,7 @@
   Fleet& f = planned();
   for (auto _ : state) {
     f.pass(1);
-    const auto reports = f.reports(amount(state));
+    const auto reports = f.heartbeats(amount(state));
     timed(state, [&] {
       for (const auto& r : reports) f.report(r);
     });
@@ -118,26 +118,27 @@
 }
 
 template <class F>
-void in_batches(const std::vector<WorkerReport>& reports, F&& each) {
-  for (std::size_t i = 0; i < reports.size(); i += wire::max_batch_reports) {
-    wire::ReportBatch batch{{"node-1", 900, 1500}, {}};
-    const auto end = std::min(reports.size(), i + wire::max_batch_reports);
-    batch.reports.assign(reports.begin() + static_cast<std::ptrdiff_t>(i),
-                         reports.begin() + static_cast<std::ptrdiff_t>(end));
+void in_batches(const std::vector<Heartbeat>& reports, F&& each) {
+  for (std::size_t i = 0; i < reports.size(); i += wire::max_batch_heartbeats) {
+    wire::HeartbeatBatch batch{{"node-1", 900, 1500}, {}};
+    const auto end = std::min(reports.size(), i + wire::max_batch_heartbeats);
+    batch.heartbeats.assign(reports.begin() + static_cast<std::ptrdiff_t>(i),
+                            reports.begin() + static_cast<std::ptrdiff_t>(end));
     each(batch);
   }
 }
 
 // What a node that passes reports on does beside reading them.
 void report_pass_on(benchmark::State& state) {
-  const auto reports = planned().reports(amount(state));
+  const auto reports = planned().heartbeats(amount(state));
   for (auto _ : state) {
     timed(state, [&] {
-      in_batches(reports, [&](const wire::ReportBatch& batch) {
+      in_batches(reports, [&](const wire::HeartbeatBatch& batch) {
         benchmark::DoNotOptimize(wire::encode_batch(batch));
-        wire::ReportAnswers answers{Token{7}, std::vector<ReportAnswer>(batch.reports.size()), {}};
-        const auto back = wire::decode_answers(wire::encode_answers(answers));
-        for (const auto& a : back->answers) benchmark::DoNotOptimize(wire::encode_orders(Token{7}, a.orders));
+        wire::HeartbeatResponses answers{FencingToken{7}, std::vector<HeartbeatResponse>(batch.heartbeats.size()), {}};
+        const auto back = wire::decode_responses(wire::encode_responses(answers));
+        for (const auto& a : back->answers)
+          benchmark::DoNotOptimize(wire::encode_heartbeat_response(FencingToken{7}, a.commands));
       });
     });
   }
@@ -149,13 +150,13 @@
   for (auto _ : state) {
     f.pass(1);
     std::vector<std::string> batches;
-    in_batches(f.reports(amount(state)), [&](const auto& b) { batches.push_back(wire::encode_batch(b)); });
+    in_batches(f.heartbeats(amount(state)), [&](const auto& b) { batches.push_back(wire::encode_batch(b)); });
     timed(state, [&] {
       for (const auto& text : batches) {
         const auto batch = wire::decode_batch(text);
         for (const auto& r : batch->reports) f.report(r);
-        wire::ReportAnswers answers{Token{7}, std::vector<ReportAnswer>(batch->reports.size()), {}};
-        benchmark::DoNotOptimize(wire::encode_answers(answers));
+        wire::HeartbeatResponses answers{FencingToken{7}, std::vector<HeartbeatResponse>(batch->reports.size()), {}};
+        benchmark::DoNotOptimize(wire::encode_responses(answers));
       }
     });
   }
@@ -178,9 +179,9 @@
       const auto rows = f.scheduler().take_writes(1000, false, f.now() + seconds(0.1));
       encode_rows(rows);
       f.scheduler().stored(rows, f.now());
-      for (const auto& b : f.scheduler().take_direct(f.now())) {
-        benchmark::DoNotOptimize(wire::encode_commands(Token{7}, b.session, b.orders));
-        f.scheduler().on_direct(b, DirectOutcome::executed, f.now());
+      for (const auto& b : f.scheduler().take_command_batches(f.now())) {
+        benchmark::DoNotOptimize(wire::encode_command_batch(FencingToken{7}, b.incarnation, b.commands));
+        f.scheduler().on_command_outcome(b, CommandOutcome::executed, f.now());
       }
     });
   }
@@ -207,19 +208,19 @@
   f.round();
   for (auto _ : state) {
     f.pass(1);
-    for (const auto& r : f.reports(f.scheduler().machines().size())) f.report(r);
+    for (const auto& r : f.heartbeats(f.scheduler().machines().size())) f.report(r);
     timed(state, [&] { f.round(); });
   }
-  state.counters["rows"] = static_cast<double>(f.scheduler().last_round().rows);
-  state.counters["columns"] = static_cast<double>(f.scheduler().last_round().columns);
+  state.counters["rows"] = static_cast<double>(f.scheduler().last_cycle().jobs);
+  state.counters["columns"] = static_cast<double>(f.scheduler().last_cycle().machines);
 }
 
 void add_waiting(Fleet& f, std::size_t jobs) {
   for (std::size_t i = 0; i < jobs; ++i) f.add_gang(i % 2 == 0 ? 1 : 4);
 }
 
-Fleet crowded(FleetShape shape, std::size_t waiting) {
-  Fleet f{std::move(shape)};
+Fleet crowded(FleetShape kind, std::size_t waiting) {
+  Fleet f{std::move(kind)};
   const auto gpu_machines = static_cast<std::size_t>(static_cast<double>(f.scheduler().machines().size()) * 0.2647);
   for (std::size_t left = gpu_machines; left > 0; left -= std::min<std::size_t>(left, 8)) f.add_gang(8);
   f.fill();
@@ -240,22 +241,22 @@
 // The planned fleet, changed in one respect.
 template <class F>
 void round_of_changed(benchmark::State& state, F&& change) {
-  FleetShape shape = planned_shape(planned_machines);
-  change(shape);
-  Fleet f = crowded(std::move(shape), 100);
+  FleetShape kind = planned_shape(planned_machines);
+  change(kind);
+  Fleet f = crowded(std::move(kind), 100);
   rounds_of(state, f);
 }
 
 void round_by_zones(benchmark::State& state) {
-  round_of_changed(state, [&](FleetShape& shape) { shape.zones = amount(state); });
+  round_of_changed(state, [&](FleetShape& kind) { kind.zones = amount(state); });
 }
 
 void round_by_teams(benchmark::State& state) {
-  round_of_changed(state, [&](FleetShape& shape) { shape.teams = amount(state); });
+  round_of_changed(state, [&](FleetShape& kind) { kind.teams = amount(state); });
 }
 
 void round_by_kinds(benchmark::State& state) {
-  round_of_changed(state, [&](FleetShape& shape) { shape.cpu_kinds = amount(state); });
+  round_of_changed(state, [&](FleetShape& kind) { kind.cpu_kinds = amount(state); });
 }
 
 // ---- users ----
@@ -265,7 +266,7 @@
     Fleet f{planned_shape(100)};
     std::vector<std::string> bodies;
     for (std::size_t i = 0; i < amount(state); ++i) {
-      bodies.push_back(wire::encode_job(f.next_spec(Shape::gang, 4, Rank::high)).dump());
+      bodies.push_back(wire::encode_job(f.next_spec(JobKind::gang, 4, Priority::high)).dump());
     }
     timed(state, [&] {
       for (const auto& body : bodies) {
@@ -371,7 +372,7 @@
 
 void memory_by_finished_jobs(benchmark::State& state) {
   held(state, [&] {
-    auto finals = std::make_unique<service::FinalMemory>(1'000'000);
+    auto finals = std::make_unique<service::FinishedJobCache>(1'000'000);
     for (std::size_t i = 0; i < amount(state); ++i) {
       finals->add({JobId{"job-" + std::to_string(100000 + i)}, JobPhase::done, 4, 0});
     }
@@ -388,8 +389,8 @@
   constexpr std::size_t group = 60;
   for (std::size_t i = 0; i < rows.machines.size(); i += group) {
     const auto end = std::min(rows.machines.size(), i + group);
-    const std::vector<MachineFacts> facts{rows.machines.begin() + static_cast<std::ptrdiff_t>(i),
-                                          rows.machines.begin() + static_cast<std::ptrdiff_t>(end)};
+    const std::vector<MachineRecord> facts{rows.machines.begin() + static_cast<std::ptrdiff_t>(i),
+                                           rows.machines.begin() + static_cast<std::ptrdiff_t>(end)};
     all += wire::encode_machines(facts).dump();
   }
   return all;
@@ -398,7 +399,7 @@
 // By machines; tasks and jobs in proportion.
 void take_over(benchmark::State& state) {
   const Fleet f = running(amount(state), amount(state) * planned_running / planned_machines);
-  const auto rows = f.rows();
+  const auto rows = f.jobs();
   for (auto _ : state) {
     timed(state, [&] {
       auto s = f.load(rows);
@@ -409,7 +410,7 @@
 
 void rows_of_the_store(benchmark::State& state) {
   const Fleet f = running(amount(state), amount(state) * planned_running / planned_machines);
-  const auto rows = f.rows();
+  const auto rows = f.jobs();
   for (auto _ : state) {
     timed(state, [&] { benchmark::DoNotOptimize(rows_text(rows)); });
   }
--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -48,7 +48,7 @@
     const auto type = std::ranges::find(plan_.types, group.type, &MachineType::name);
     for (std::size_t i = 0; i < group.count; ++i) {
       // Their first reports spread over an interval, as those of machines that have been up for long.
-      const Time boots = now + seconds(field_.roll() * plan_.terms.report_s);
+      const Time boots = now + seconds(field_.roll() * plan_.terms.heartbeat_interval_s);
       add(*type, plan_.zones.at(i % plan_.zones.size()), false, boots);
     }
   }
--- a/scale/field.cpp
+++ b/scale/field.cpp
@@ -116,16 +116,16 @@
   while (balancer_.healthy() < balancer_.nodes() && loop_.now() < latest) co_await loop_.sleep(seconds(0.2));
   co_await loop_.sleep(seconds(plan_.begin_s));
   began_ = loop_.now();
-  double troubles_end_s = 0;
+  double faults_end_s = 0;
   for (const auto& e : plan_.events) {
-    troubles_end_s = std::max(troubles_end_s, e.at_s + e.for_s);
+    faults_end_s = std::max(faults_end_s, e.at_s + e.for_s);
     rt::spawn(play(e));
   }
   const Time until = began_ + seconds(plan_.arrivals_s);
   for (std::size_t c = 0; c < plan_.classes.size(); ++c) rt::spawn(users_.arrive(c, until));
   rt::spawn(users_.ask_about_unknown(until));
-  while (loop_.now() < until || since_began() < troubles_end_s) co_await loop_.sleep(seconds(0.2));
-  rules_.all_troubles_over(loop_.now());
+  while (loop_.now() < until || since_began() < faults_end_s) co_await loop_.sleep(seconds(0.2));
+  rules_.all_faults_over(loop_.now());
   const Time drained = loop_.now() + seconds(plan_.drain_s);
   while (users_.open() > 0 && loop_.now() < drained) co_await loop_.sleep(seconds(0.2));
   rules_.finish(loop_.now());
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -60,8 +60,8 @@
     }
     model_.reported();
     last_report_ = now;
-    route_.next_report = now + seconds(field_.world.terms.report_s * (0.75 + 0.5 * field_.roll()));
-    const auto session = model_.session();
+    route_.next_report = now + seconds(field_.world.terms.heartbeat_interval_s * (0.75 + 0.5 * field_.roll()));
+    const auto incarnation = model_.incarnation();
     std::string body = model_.report();
     ++field_.traffic.reports;
     field_.traffic.report_bytes += body.size();
@@ -70,11 +70,11 @@
     const rt::HttpResult result =
         co_await client_.request(std::move(to), "POST", "/agent/beat", std::move(body), answer_limit);
     // What was under way when it was cut off is lost.
-    if (!cut()) take_answer(result, now, session);
+    if (!cut()) take_answer(result, now, incarnation);
   }
 }
 
-void HollowWorker::take_answer(const rt::HttpResult& result, Time sent, std::uint64_t session) {
+void HollowWorker::take_answer(const rt::HttpResult& result, Time sent, std::uint64_t incarnation) {
   const Time now = field_.loop.refresh();
   const bool in_time = result.outcome == rt::Outcome::answered && now - sent <= answer_limit;
   const json body = in_time ? json::parse(result.body, nullptr, false) : json{};
@@ -82,7 +82,7 @@
   bytes_ += result.body.size();
   if (!route_.follow(in_time ? result.status : 0, body, field_.names, now)) return;
   ++field_.traffic.answered;
-  model_.take_answer(body, session, sent, now);
+  model_.take_answer(body, incarnation, sent, now);
 }
 
 rt::Task<rt::HttpResponse> HollowWorker::serve(rt::HttpMessage request) {
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -39,12 +39,12 @@
  private:
   rt::Task<void> report_loop();
   rt::Task<rt::HttpResponse> serve(rt::HttpMessage request);
-  void take_answer(const rt::HttpResult& result, Time sent, std::uint64_t session);
+  void take_answer(const rt::HttpResult& result, Time sent, std::uint64_t incarnation);
   [[nodiscard]] bool cut() const { return field_.loop.now() < cut_until_; }
 
   WorkerField& field_;
   stand_ins::WorkerModel model_;
-  stand_ins::ReportRoute route_;
+  stand_ins::HeartbeatRoute route_;
   Time last_report_{}, cut_until_{};
   std::uint64_t bytes_ = 0;
   rt::Event wake_;
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -37,26 +37,26 @@
   return out;
 }
 
-Rank rank_of(const std::string& name) {
-  if (name == "prod") return Rank::production;
-  if (name == "high") return Rank::high;
-  if (name == "normal") return Rank::normal;
-  if (name == "best_effort") return Rank::best_effort;
+Priority rank_of(const std::string& name) {
+  if (name == "prod") return Priority::production;
+  if (name == "high") return Priority::high;
+  if (name == "normal") return Priority::normal;
+  if (name == "best_effort") return Priority::best_effort;
   throw PlanError("plan: 'rank' must be prod, high, normal or best_effort");
 }
 
 JobClass class_of(const json& o) {
   JobClass c;
   c.name = value<std::string>(o, "name");
-  c.spec.lane = c.name;
-  c.spec.shape = value<std::string>(o, "shape") == "gang" ? Shape::gang : Shape::array;
-  c.spec.rank = rank_of(value<std::string>(o, "rank"));
+  c.spec.job_class = c.name;
+  c.spec.kind = value<std::string>(o, "shape") == "gang" ? JobKind::gang : JobKind::array;
+  c.spec.priority = rank_of(value<std::string>(o, "rank"));
   c.spec.need = resources(o);
   c.spec.one_zone = value_or(o, "one_zone", false);
   c.spec.spread = value_or(o, "spread", false);
   if (o.contains("types")) c.spec.types = value<std::vector<std::string>>(o, "types");
-  c.spec.checkpoint_s = value_or(o, "checkpoint_s", 0.0);
-  c.spec.save_s = value_or(o, "save_s", 0.0);
+  c.spec.checkpoint_interval_s = value_or(o, "checkpoint_s", 0.0);
+  c.spec.checkpoint_duration_s = value_or(o, "save_s", 0.0);
   if (o.contains("deadline_s")) c.spec.deadline_s = value<double>(o, "deadline_s");
   c.per_second = value<double>(o, "per_second");
   c.at_start = value_or(o, "at_start", std::size_t{0});
--- a/scale/plan.hpp
+++ b/scale/plan.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "core/model.hpp"
-#include "core/policy.hpp"
+#include "core/model/model.hpp"
+#include "core/model/policy.hpp"
 #include "stand_ins/store_model.hpp"
 
 namespace martenwall::scale {
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -75,7 +75,7 @@
   if (r.ok()) rules_.told(id, json::parse(r.body).at("phase"), sent, loop_.now());
   if (r.outcome == rt::Outcome::answered && r.status == 404) rules_.refused_forever(id, 404, sent, loop_.now());
   const auto& work = rules_.work(id);
-  co_return work.told_done || work.told_cancelled;
+  co_return work.reported_done || work.reported_cancelled;
 }
 
 rt::Task<void> Users::cancel(JobId id) {
@@ -129,7 +129,7 @@
     const JobId id{numbered(never_submitted + static_cast<std::size_t>(roll() * 1000))};
     std::string target = "/api/jobs/" + id.value();
     const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_limit);
-    if (r.ok()) rules_.told_of_unknown(id, loop_.now());
+    if (r.ok()) rules_.on_unknown_job_known(id, loop_.now());
     co_await loop_.sleep(unknown_every);
   }
 }
@@ -146,11 +146,11 @@
                        {"submitted_s", json::array()}};
   }
   for (const auto& [id, w] : rules_.works()) {
-    auto& c = classes[w.spec.lane];
+    auto& c = classes[w.spec.job_class];
     c["jobs"] = c["jobs"].get<std::size_t>() + 1;
     c["tasks"] = c["tasks"].get<std::size_t>() + w.spec.tasks;
-    if (w.told_done) c["done"] = c["done"].get<std::size_t>() + 1;
-    if (w.told_cancelled) c["cancelled"] = c["cancelled"].get<std::size_t>() + 1;
+    if (w.reported_done) c["done"] = c["done"].get<std::size_t>() + 1;
+    if (w.reported_cancelled) c["cancelled"] = c["cancelled"].get<std::size_t>() + 1;
     if (!w.begun) continue;
     c["begun"] = c["begun"].get<std::size_t>() + 1;
     c["begin_delay_s"].push_back(to_seconds(*w.begun - w.submitted));
--- a/src/config/configuration_document.hpp
+++ b/src/config/configuration_document.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "core/configuration.hpp"
+#include "core/model/configuration.hpp"
 
 namespace martenwall::config {
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,7 +11,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "core/heuristic_table.hpp"
+#include "core/placement/heuristic_table.hpp"
 #include "runtime/socket.hpp"
 
 namespace martenwall::config {
@@ -149,8 +149,8 @@
   const auto duration = [](Duration& to) { return [&to](double v) { to = seconds(v); }; };
   const auto count = [](int& to) { return [&to](double v) { to = static_cast<int>(v); }; };
   std::map<std::string, Setter> out{
-      {"scheduler.round.seconds", duration(p.round)},
-      {"scheduler.limits.leave", [&p](double v) { p.leave_limits = v != 0; }},
+      {"scheduler.round.seconds", duration(p.cycle_interval)},
+      {"scheduler.limits.leave", [&p](double v) { p.reserve_limit_headroom = v != 0; }},
       {"scheduler.unsaved.stops", [&p](double v) { p.unsaved_stops = v != 0; }},
       {"scheduler.direct.starts", [&p](double v) { p.direct_starts = v != 0; }},
       {"scheduler.error.limit", count(p.error_limit)},
@@ -165,10 +165,10 @@
       {"fleet.boot.patience", number(p.boot_patience)},
       {"fleet.capacity.retry.seconds", duration(p.capacity_retry)},
       {"fleet.lost.patience.seconds", duration(p.lost_patience)},
-      {"fleet.guest.patience.seconds", duration(p.guest_patience)},
-      {"fleet.guest.patience.without.spot.seconds", duration(p.guest_patience_without_spot)},
+      {"fleet.guest.patience.seconds", duration(p.best_effort_spot_patience)},
+      {"fleet.guest.patience.without.spot.seconds", duration(p.best_effort_spot_patience_without_spot)},
       {"metrics.port", count(p.metrics_port)},
-      {"workers.relay", [&p](double v) { p.relay_reports = v != 0; }},
+      {"workers.relay", [&p](double v) { p.relay_heartbeats = v != 0; }},
       {"workers.relay.leader.weight", number(p.relay_leader_weight)},
       {"leader.lease.seconds", duration(p.lease_ttl)},
       {"leader.renew.seconds", duration(p.renew_every)}};
@@ -209,7 +209,8 @@
   if (policy.renew_every * 2 > policy.lease_ttl) {
     throw SettingsError("properties: 'leader.renew.seconds' must be at most half of 'leader.lease.seconds'");
   }
-  if (policy.round < seconds(0.05)) throw SettingsError("properties: 'scheduler.round.seconds' must be at least 0.05");
+  if (policy.cycle_interval < seconds(0.05))
+    throw SettingsError("properties: 'scheduler.round.seconds' must be at least 0.05");
   if (policy.metrics_port > 65535) throw SettingsError("properties: 'metrics.port' must be at most 65535");
   if (policy.shortage_efficiency <= 0 || policy.shortage_efficiency > 1) {
     throw SettingsError("properties: 'scheduler.shortage.efficiency' must be above 0 and at most 1");
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "core/model.hpp"
-#include "core/policy.hpp"
+#include "core/model/model.hpp"
+#include "core/model/policy.hpp"
 
 namespace martenwall::config {
 
@@ -15,7 +15,7 @@
 };
 
 struct Objective {
-  std::string kind, lane;
+  std::string kind, job_class;
   double within_s = 0, share = 0;
   double times = 1;  // of the deadline, for the kind `deadline`
 };
--- a/src/core/fleet.cpp
+++ b/src/core/capacity/scale_out_planner.cpp
@@ -1,11 +1,11 @@
-#include "core/fleet.hpp"
+#include "core/capacity/scale_out_planner.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <optional>
 #include <set>
 
-#include "core/heuristics.hpp"
+#include "core/placement/heuristics.hpp"
 
 namespace martenwall {
 
@@ -24,20 +24,20 @@
 class Planner {
  public:
   Planner(const FleetView& view, const std::vector<Demand>& demands)
-      : view_(view), per_zone_(view.per_zone), pool_(view.prospects) {
+      : view_(view), per_zone_(view.per_zone), pool_(view.forecast) {
     for (const auto& d : demands) least_ = least_.least(d.spec->need);
     for (std::size_t i = 0; i < pool_.size(); ++i) enter(i);
   }
 
   void serve(const Demand& d) {
-    d.job->room_at.reset();
+    d.job->capacity_expected_at.reset();
     allowed_ = allowed_kinds(*d.spec, kinds_);
     in_zone_ = d.in_zone;
-    if (d.spec->shape == Shape::gang && d.spec->one_zone && d.zone.empty()) return serve_in_one_zone(d);
+    if (d.spec->kind == JobKind::gang && d.spec->one_zone && d.zone.empty()) return serve_in_one_zone(d);
     serve_in(d, d.zone);
   }
 
-  [[nodiscard]] std::vector<HireRequest> requests() const {
+  [[nodiscard]] std::vector<ScaleOutRequest> requests() const {
     std::map<CapacityMemory::Place, std::uint32_t> counts;
     // In the order in which the demands were served: what the most urgent one wants goes first.
     std::vector<CapacityMemory::Place> places;
@@ -46,7 +46,7 @@
       const auto& place = places.emplace_back(v.type->name, v.zone, v.spot);
       if (++counts[place] > 1) places.pop_back();
     }
-    std::vector<HireRequest> out;
+    std::vector<ScaleOutRequest> out;
     for (const auto& place : places) {
       const auto wanted = counts.at(place);
       const auto& [type, zone, spot] = place;
@@ -68,7 +68,7 @@
       if (!allows(*d.spec, i, zone) || (d.spot_only && !v.spot)) continue;
       const auto n = fill(*d.spec, v, left);
       if (n > 0) ready = std::max(ready, v.ready);
-      if (n > 0 && v.idle != nullptr) v.idle->wanted_until = view_.now + kept_for_a_job;
+      if (n > 0 && v.idle != nullptr) v.idle->keep_until = view_.now + kept_for_a_job;
       if (n > 0 && !least_.fits_in(v.room)) ++exhausted;
       left -= n;
     }
@@ -85,7 +85,7 @@
       if (placed == 0) return;
       left -= placed;
     }
-    d.job->room_at = ready;
+    d.job->capacity_expected_at = ready;
   }
 
   // All of its room must be in one zone: the one where least is missing; where that is equal, the cheapest.
@@ -130,7 +130,7 @@
     const auto there = it == in_zone_.end() ? 0 : it->second;
     return (spec.tasks + 1) / 2 - std::min(there, (spec.tasks + 1) / 2);
   }
-  std::uint32_t fill(const JobSpec& spec, Prospect& v, std::uint32_t most) {
+  std::uint32_t fill(const JobSpec& spec, CapacityForecast& v, std::uint32_t most) {
     const auto limit = std::min(most, room_in(spec, v.zone));
     std::uint32_t n = 0;
     for (; n < limit && spec.need.fits_in(v.room); ++n) v.room.add(spec.need, -1);
@@ -161,7 +161,7 @@
 
   const FleetView& view_;
   std::map<std::string, std::uint32_t> per_zone_;
-  std::vector<Prospect> pool_;
+  std::vector<CapacityForecast> pool_;
   std::vector<MachineKind> kinds_;
   std::vector<std::size_t> kind_;  // of each in the pool
   std::vector<std::size_t> open_;  // those in the pool with room for the smallest need of all, in its order
@@ -182,19 +182,19 @@
   const double by_chance = deviations * std::sqrt(*std::ranges::max_element(samples_));
   if (samples_.size() <= horizon + 1) return std::max(by_chance, samples_.back());  // too early to tell more
   double sum = 0;
-  double squares = 0;
+  double sum_of_squares = 0;
   const std::size_t n = samples_.size() - horizon;
   for (std::size_t i = 0; i < n; ++i) {
     const double growth = samples_[i + horizon] - samples_[i];
     sum += growth;
-    squares += growth * growth;
+    sum_of_squares += growth * growth;
   }
   const double mean = sum / static_cast<double>(n);
-  const double variance = std::max(0.0, squares / static_cast<double>(n) - mean * mean);
+  const double variance = std::max(0.0, sum_of_squares / static_cast<double>(n) - mean * mean);
   return std::max(by_chance, std::min(mean, 0.0) + deviations * std::sqrt(variance));
 }
 
-std::vector<HireRequest> plan_hires(const FleetView& view, const std::vector<Demand>& demands) {
+std::vector<ScaleOutRequest> pack_scale_out_requests(const FleetView& view, const std::vector<Demand>& demands) {
   Planner planner{view, demands};
   for (const auto& d : demands) planner.serve(d);
   return planner.requests();
--- a/src/core/fleet.hpp
+++ b/src/core/capacity/scale_out_planner.hpp
@@ -7,13 +7,13 @@
 #include <tuple>
 #include <vector>
 
-#include "core/heuristics.hpp"
+#include "core/placement/heuristics.hpp"
 
 namespace martenwall {
 
 constexpr double usual_boot = 1.25;  // times the nominal boot time within which most machines are up
 
-struct HireRequest {
+struct ScaleOutRequest {
   std::string name;  // never reused, by any leader
   std::string type, zone;
   bool spot = false;
@@ -40,7 +40,7 @@
 };
 
 // Room that is there or on its way: free machines, booting ones, those asked for.
-struct Prospect {
+struct CapacityForecast {
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
@@ -56,7 +56,7 @@
   const std::vector<MachineType>& types;
   const CapacityMemory& capacity;
   std::map<std::string, std::uint32_t> per_zone;  // machines there now, to spread over zones
-  std::vector<Prospect> prospects;
+  std::vector<CapacityForecast> forecast;
 };
 
 // How many machines of a kind were busy, second by second. Of it follows how many more may be wanted before
@@ -75,6 +75,6 @@
 
 // Machines to rent, packed greedily; requests without a name yet. Each demand's job learns when its room is
 // expected, or that none is.
-std::vector<HireRequest> plan_hires(const FleetView& view, const std::vector<Demand>& demands);
+std::vector<ScaleOutRequest> pack_scale_out_requests(const FleetView& view, const std::vector<Demand>& demands);
 
 }  // namespace martenwall
--- a/src/core/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -1,4 +1,4 @@
-#include "core/leadership.hpp"
+#include "core/leadership/leadership.hpp"
 
 #include <algorithm>
 #include <array>
@@ -23,7 +23,7 @@
 
 void Leadership::enter(LeaderState next) { state_ = next; }
 
-void Leadership::acquired(Token token, Time lease_sent) {
+void Leadership::acquired(FencingToken token, Time lease_sent) {
   token_ = token;
   valid_until_ = lease_sent + less_drift(ttl_);
   enter(LeaderState::loading);
@@ -46,7 +46,7 @@
   if (state_ == LeaderState::leading && now >= valid_until_) enter(LeaderState::grace);
 }
 
-bool Leadership::proven(Time now) const { return state_ == LeaderState::leading && now < valid_until_; }
+bool Leadership::has_valid_lease(Time now) const { return state_ == LeaderState::leading && now < valid_until_; }
 
 bool Leadership::serves_workers(Time now) const {
   if (state_ != LeaderState::leading && state_ != LeaderState::grace) return false;
--- a/src/core/leadership.hpp
+++ b/src/core/leadership/leadership.hpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/policy.hpp"
+#include "core/model/policy.hpp"
 #include "core/types.hpp"
 
 namespace martenwall {
@@ -24,15 +24,15 @@
   // cancellation which this node cannot see still takes effect in time.
   [[nodiscard]] Duration grace() const { return grace_; }
   // All three bounds count from the moment before a renewal was sent, less clock drift.
-  void acquired(Token token, Time lease_sent);
+  void acquired(FencingToken token, Time lease_sent);
   void loaded(Time now);
   void renewed(Time sent, Time now);
   void lost();
   void tick(Time now);
 
   [[nodiscard]] LeaderState state() const { return state_; }
-  [[nodiscard]] Token token() const { return token_; }
-  [[nodiscard]] bool proven(Time now) const;
+  [[nodiscard]] FencingToken token() const { return token_; }
+  [[nodiscard]] bool has_valid_lease(Time now) const;
   // May it answer workers with 200?
   [[nodiscard]] bool serves_workers(Time now) const;
   [[nodiscard]] Time valid_until() const { return valid_until_; }
@@ -42,7 +42,7 @@
   LeaderState state_ = LeaderState::follower;
   Duration ttl_;
   Duration grace_;
-  Token token_;
+  FencingToken token_;
   Time valid_until_{};
 };
 
--- a/src/core/return_times.cpp
+++ b/src/core/leadership/retry_after.cpp
@@ -1,14 +1,14 @@
-#include "core/return_times.hpp"
+#include "core/leadership/retry_after.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 namespace martenwall {
 
-ReturnTimes::ReturnTimes(double per_second, int most_s)
+RetryAfterPacer::RetryAfterPacer(double per_second, int most_s)
     : per_second_(std::max(1.0, per_second)), most_s_(std::max(1, most_s)) {}
 
-int ReturnTimes::next(Time now) {
+int RetryAfterPacer::next(Time now) {
   const double passed = std::max(0.0, to_seconds(now - at_));
   at_ = std::max(at_, now);
   waiting_ = std::max(0.0, waiting_ - passed * per_second_);
--- a/src/core/return_times.hpp
+++ b/src/core/leadership/retry_after.hpp
@@ -4,10 +4,10 @@
 
 namespace martenwall {
 
-class ReturnTimes {
+class RetryAfterPacer {
  public:
   // `per_second`: requests that this node can take beside new ones. `most_s`: no user is sent away for longer.
-  ReturnTimes(double per_second, int most_s);
+  RetryAfterPacer(double per_second, int most_s);
   // For one more refused request: whole seconds, 1 to `most_s`. Each gets the first second that is not full yet; where
   // all are, they are shared out evenly.
   int next(Time now);
--- a/src/core/messages.hpp
+++ b/src/core/messages.hpp
@@ -4,11 +4,11 @@
 #include <string>
 #include <vector>
 
-#include "core/model.hpp"
+#include "core/model/model.hpp"
 
 namespace martenwall {
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   Attempt attempt;
   TaskState state = TaskState::fetching;
@@ -16,20 +16,20 @@
   bool saved = false;
 };
 
-struct WorkerReport {
+struct Heartbeat {
   MachineId machine;
   std::string addr, type, zone;
   bool spot = false;
-  Session session;
-  Tick tick;
-  Token token;  // highest the worker has seen
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  Incarnation incarnation;
+  HeartbeatSequence sequence;
+  FencingToken token;  // highest the worker has seen
+  std::optional<double> preemption_notice_s;
+  std::vector<TaskStatus> tasks;
 };
 
-enum class ReportSource { beat, direct };
+enum class StatusSource { heartbeat, command_reply };
 
-struct Order {
+struct Command {
   enum class Verb { start, stop, forget };
   Verb verb = Verb::start;
   TaskId task;
@@ -38,25 +38,25 @@
 };
 
 // What a worker's report is answered with, by whichever node.
-struct ReportAnswer {
+struct HeartbeatResponse {
   enum class Kind : std::uint8_t {
-    orders,       // 200: renews its lease
+    commands,     // 200: renews its lease
     misdirected,  // this node is not entitled to act
-    gone,         // the machine was returned
-    later,        // not looked at: the answer would have become too long
+    released,     // the machine was released
+    deferred,     // not looked at: the answer would have become too long
   };
   Kind kind = Kind::misdirected;
-  std::vector<Order> orders{};
+  std::vector<Command> commands{};
 };
 
-struct DirectBatch {
+struct CommandBatch {
   MachineId machine;
   std::string addr;
-  Session session;
-  std::vector<Order> orders;
+  Incarnation incarnation;
+  std::vector<Command> commands;
 };
 
-enum class DirectOutcome { executed, refused, not_sent, unknown };
+enum class CommandOutcome { executed, refused, not_sent, unknown };
 
 struct ListedMachine {
   MachineId id;
@@ -71,23 +71,23 @@
   JobId id;
   JobPhase phase = JobPhase::done;
   std::uint32_t tasks = 0, done = 0;
-  bool chained = false;  // where its own row stood
+  bool dependent = false;  // where its own row stood
 };
 
 struct JobStatus {
   JobId id;
   JobPhase phase = JobPhase::pending;
   std::uint32_t done = 0, running = 0;
-  std::string waits{};  // why nothing of it can start, where that lies with its team
+  std::string pending_reason{};  // why nothing of it can start, where that lies with its team
 };
 
 // What is worth knowing of a machine by a new leader; no rule depends on it.
-struct MachineFacts {
+struct MachineRecord {
   MachineId id;
   std::uint32_t group = 0;  // machines that share a row
   std::string addr, type, zone;
   bool spot = false;
-  Session session;
+  Incarnation incarnation;
   std::vector<std::pair<std::string, double>> images;  // cached, most recent first
 };
 
@@ -97,24 +97,24 @@
 struct TaskRow {
   JobId job;
   std::uint32_t first = 0, size = 0;
-  bool legacy = false;  // its key has a number instead of `first`; its run follows from the value's limit
+  bool is_v1 = false;  // its key has a number instead of `first`; its run follows from the value's limit
   std::string team;
   Resources need;
-  Rank rank = Rank::normal;
+  Priority priority = Priority::normal;
   std::uint64_t next_attempt = 1;
   std::vector<DoneSet::Range> done;
-  struct Held {
+  struct PlacedTask {
     std::uint32_t index = 0;
     Attempt attempt;
     MachineId machine;
     std::string zone;
   };
-  std::vector<Held> held;
+  std::vector<PlacedTask> placed;
   std::uint32_t failed = 0;  // machines that the job failed on while nothing of it was done
 };
 
 // A row of the store that is to be written; what is not set is removed.
-enum class RowKind { final_job, legacy_tasks, tasks, facts };
+enum class RowKind { final_job, tasks_v1, tasks, machines };
 struct RowKey {
   RowKind kind = RowKind::tasks;
   std::string id;          // of the job; empty for facts
@@ -123,12 +123,12 @@
 };
 struct RowWrite {
   RowKey key;
-  Generation gen;          // of the job's part
+  Generation generation;   // of the job's part
   std::uint32_t size = 0;  // of its run
   std::optional<FinalJob> final_job;
   std::optional<TaskRow> tasks;
-  std::vector<MachineFacts> facts;    // of one group of machines; empty: the row goes
-  std::vector<std::string> pieces{};  // further keys of the job's own row, which go with it
+  std::vector<MachineRecord> machines;    // of one group of machines; empty: the row goes
+  std::vector<std::string> chunk_keys{};  // further keys of the job's own row, which go with it
 };
 
 }  // namespace martenwall
--- a/src/core/configuration.cpp
+++ b/src/core/model/configuration.cpp
@@ -1,4 +1,4 @@
-#include "core/configuration.hpp"
+#include "core/model/configuration.hpp"
 
 #include <algorithm>
 
--- a/src/core/configuration.hpp
+++ b/src/core/model/configuration.hpp
@@ -6,8 +6,8 @@
 #include <string_view>
 #include <vector>
 
-#include "core/model.hpp"
-#include "core/policy.hpp"
+#include "core/model/model.hpp"
+#include "core/model/policy.hpp"
 
 namespace martenwall {
 
--- a/src/core/done_set.cpp
+++ b/src/core/model/done_set.cpp
@@ -1,4 +1,4 @@
-#include "core/done_set.hpp"
+#include "core/model/done_set.hpp"
 
 #include <algorithm>
 
--- a/src/core/model.cpp
+++ b/src/core/model/model.cpp
@@ -1,4 +1,4 @@
-#include "core/model.hpp"
+#include "core/model/model.hpp"
 
 #include <algorithm>
 
@@ -26,10 +26,10 @@
   return names.at(static_cast<std::size_t>(p));
 }
 
-void Job::set_own_urgency() {
-  rank = spec.rank;
-  due.reset();
-  if (spec.deadline_s) due = submitted + seconds(*spec.deadline_s);
+void Job::reset_urgency() {
+  priority = spec.priority;
+  effective_deadline.reset();
+  if (spec.deadline_s) effective_deadline = submitted + seconds(*spec.deadline_s);
 }
 
 bool Job::enter(JobPhase next) {
@@ -86,21 +86,21 @@
 
 std::uint32_t Job::pending_tasks() const {
   if (is_final(phase) || phase == JobPhase::waiting) return 0;
-  const auto fresh = spec.tasks - std::min(spec.tasks, next_fresh);
-  return fresh + static_cast<std::uint32_t>(returned.size());
+  const auto fresh = spec.tasks - std::min(spec.tasks, next_unstarted);
+  return fresh + static_cast<std::uint32_t>(requeued.size());
 }
 
 std::optional<std::uint32_t> Job::next_pending() const {
-  if (!returned.empty()) return *returned.begin();
-  if (next_fresh < spec.tasks) return next_fresh;
+  if (!requeued.empty()) return *requeued.begin();
+  if (next_unstarted < spec.tasks) return next_unstarted;
   return std::nullopt;
 }
 
 void Job::take(std::uint32_t index, const MachineId& machine) {
-  returned.erase(index);
-  for (; next_fresh <= index; ++next_fresh) {
-    if (next_fresh < index && !done.contains(next_fresh) && !placed.contains(next_fresh)) {
-      returned.insert(next_fresh);
+  requeued.erase(index);
+  for (; next_unstarted <= index; ++next_unstarted) {
+    if (next_unstarted < index && !done.contains(next_unstarted) && !placed.contains(next_unstarted)) {
+      requeued.insert(next_unstarted);
     }
   }
   placed[index] = machine;
@@ -111,13 +111,13 @@
   if (holder == placed.end()) {
     take(index, machine);
   } else if (holder->second != machine) {
-    strays.emplace(index, machine);
+    orphans.emplace(index, machine);
   }
 }
 
-void Job::give_back(std::uint32_t index) {
+void Job::return_to_pending(std::uint32_t index) {
   placed.erase(index);
-  if (!done.contains(index) && !is_final(phase)) returned.insert(index);
+  if (!done.contains(index) && !is_final(phase)) requeued.insert(index);
 }
 
 }  // namespace martenwall
--- a/src/core/model.hpp
+++ b/src/core/model/model.hpp
@@ -9,14 +9,14 @@
 #include <string_view>
 #include <vector>
 
-#include "core/done_set.hpp"
-#include "core/ears.hpp"
+#include "core/model/done_set.hpp"
+#include "core/reachability/downlink_health.hpp"
 #include "core/types.hpp"
 
 namespace martenwall {
 
-enum class Shape { array, gang, service };
-enum class Rank { best_effort, normal, high, production };
+enum class JobKind { array, gang, service };
+enum class Priority { best_effort, normal, high, production };
 // `waiting`: jobs that it awaits are not all done; users are told `pending`.
 enum class JobPhase { pending, running, done, cancelled, waiting };
 std::string_view name_of(JobPhase p);
@@ -63,9 +63,9 @@
 
 struct JobSpec {
   JobId id;
-  std::string lane, team;
-  Shape shape = Shape::array;
-  Rank rank = Rank::normal;
+  std::string job_class, team;
+  JobKind kind = JobKind::array;
+  Priority priority = Priority::normal;
   std::uint32_t tasks = 1;
   Resources need;
   std::string image;
@@ -73,9 +73,9 @@
   std::optional<std::vector<std::string>> types;
   std::optional<std::string> zone;
   bool one_zone = false, spread = false, spot = false;
-  double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+  double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
   std::optional<double> deadline_s;
-  std::vector<JobId> awaits;  // have to be done before any task of it starts; no two alike
+  std::vector<JobId> dependencies;  // have to be done before any task of it starts; no two alike
 };
 
 enum class TaskState { planned, sent, fetching, waiting, running, saving, ended };
@@ -86,38 +86,38 @@
 // A task that may be on a machine. It is stored in the machine's row before its start is sent.
 class Placement {
  public:
-  Placement(TaskId task_id, Attempt attempt_no, Generation generation, Time now)
-      : task(std::move(task_id)), attempt(attempt_no), gen(generation), placed_at(now) {}
+  Placement(TaskId task_id, Attempt attempt_no, Generation change, Time now)
+      : task(std::move(task_id)), attempt(attempt_no), generation(change), placed_at(now) {}
 
   // The one function that changes the state; returns false where the change is not a legal one.
   bool enter(TaskState next, Time now);
   [[nodiscard]] TaskState state() const { return state_; }
   // While true it takes room, counts for its team's limit and binds its zone.
-  [[nodiscard]] bool occupies() const { return !gone && state_ != TaskState::ended; }
+  [[nodiscard]] bool occupies() const { return !removed && state_ != TaskState::ended; }
   // A start that was sent can still take effect on the worker.
-  [[nodiscard]] bool in_flight() const { return direct_open || sent_tick.has_value(); }
-  [[nodiscard]] bool seen() const { return state_ != TaskState::planned && state_ != TaskState::sent; }
+  [[nodiscard]] bool start_in_flight() const { return direct_start_unanswered || start_sequence.has_value(); }
+  [[nodiscard]] bool is_reported() const { return state_ != TaskState::planned && state_ != TaskState::sent; }
 
   TaskId task;
   Attempt attempt;
   std::string team;  // kept here too: the job itself may be final and forgotten
   Resources need;
-  Rank rank = Rank::normal;
-  Generation gen;                // must be stored before the start (planned) or the reap (ended)
-  bool counted = false;          // in its machine's and its team's sums
-  bool counted_running = false;  // in its job's number of running tasks
+  Priority priority = Priority::normal;
+  Generation generation;           // must be stored before the start (planned) or the reap (ended)
+  bool accounted = false;          // in its machine's and its team's sums
+  bool accounted_running = false;  // in its job's number of running tasks
   Time placed_at;
   Time state_since{};
   Time running_since{};
-  bool inherited = false;         // recorded by an earlier leader, not yet confirmed or refuted
-  bool direct_open = false;       // an unanswered direct start may still execute in this session
-  std::optional<Tick> sent_tick;  // the report in whose response the start went out last
-  bool gone = false;              // surely not on the machine; swept after the event
-  bool stop_wanted = false;
+  bool unconfirmed = false;                         // recorded by an earlier leader, not yet confirmed or refuted
+  bool direct_start_unanswered = false;             // an unanswered direct start may still execute in this session
+  std::optional<HeartbeatSequence> start_sequence;  // the report in whose response the start went out last
+  bool removed = false;                             // surely not on the machine; swept after the event
+  bool stop_requested = false;
   bool stop_sent = false;
-  bool stray = false;  // reported by a worker without a record: only stopped and counted
+  bool orphan = false;  // reported by a worker without a record: only stopped and counted
   double stop_grace_s = 0;
-  Time stop_since{};
+  Time stop_requested_at{};
   ExitCause cause = ExitCause::none;
 
  private:
@@ -132,9 +132,9 @@
   explicit Machine(MachineId machine_id) : id(std::move(machine_id)) {}
   bool enter(MachinePhase next, Time now);
   [[nodiscard]] MachinePhase phase() const { return phase_; }
-  [[nodiscard]] bool takes_starts() const { return phase_ == MachinePhase::up && seen; }
+  [[nodiscard]] bool takes_starts() const { return phase_ == MachinePhase::up && has_reported; }
   Placement* find(const TaskId& task, Attempt attempt);
-  [[nodiscard]] bool empty() const { return held == 0; }
+  [[nodiscard]] bool empty() const { return task_count == 0; }
   enum class ImageState { absent, coming, ready };
   [[nodiscard]] ImageState image_state(ImageId image) const;
   [[nodiscard]] bool has_image(ImageId image) const { return image_state(image) == ImageState::ready; }
@@ -144,18 +144,18 @@
   MachineId id;
   std::string addr, type, zone;
   bool spot = false;
-  Session session;
-  Session ended_session{0};  // this one and all before it are surely over
-  Tick tick;
-  bool seen = false;     // reported to this leadership
-  Time session_heard{};  // when the session was first heard of: it began no later
-  Time first_known{}, last_ok{}, last_heard{}, last_beat{}, phase_since{}, idle_since{};
-  std::optional<Time> taken_at;   // spot notice
-  std::optional<Time> listed_at;  // first seen in the cloud's list
+  Incarnation incarnation;
+  Incarnation ended_incarnation{0};  // this one and all before it are surely over
+  HeartbeatSequence sequence;
+  bool has_reported = false;       // reported to this leadership
+  Time incarnation_known_since{};  // when the session was first heard of: it began no later
+  Time first_known{}, lease_renewed_at{}, last_report_at{}, last_heartbeat_at{}, phase_since{}, idle_since{};
+  std::optional<Time> reclaimed_at;  // spot notice
+  std::optional<Time> listed_at;     // first seen in the cloud's list
   std::vector<Placement> placements;
   // Sums over what may be on the machine, kept up to date as placements come and go.
   Resources used;
-  std::size_t held = 0;
+  std::size_t task_count = 0;
   struct Image {
     ImageId id;
     double gb = 0;
@@ -165,11 +165,11 @@
   std::optional<JobId> reserved_for;
   Time reserved_until{};
   Time no_starts_before{};
-  Time wanted_until{};  // a job that waits for further machines counts on it
-  Ears ears;
-  bool answered = false;      // by this leadership
-  std::set<JobId> blamed_by;  // jobs that failed here since a task last completed here
-  Time judged_at{};           // no sooner is it decided whether the fault is its own
+  Time keep_until{};  // a job that waits for further machines counts on it
+  DownlinkHealth downlink;
+  bool answered_by_this_leader = false;
+  std::set<JobId> failing_jobs;  // jobs that failed here since a task last completed here
+  Time evaluate_at{};            // no sooner is it decided whether the fault is its own
   bool quarantined = false;
   std::optional<std::uint32_t> group;  // whose row in the store tells of it
 
@@ -182,32 +182,32 @@
   Time submitted{};
   std::int64_t submitted_wall_ms = 0;
   JobPhase phase = JobPhase::pending;
-  Rank rank = Rank::normal;  // its own, or a higher one of a job that needs it
+  Priority priority = Priority::normal;  // its own, or a higher one of a job that needs it
   std::uint64_t next_attempt = 1;
   DoneSet done;
-  bool end_sent = false;      // its end is on its way to the store: others may read it there before this node knows
-  bool final_stored = false;  // its end is in the store and may be told
-  bool ghost = false;         // its end was stored by an earlier leader; only its last tasks are looked after
-  bool chained = false;       // its own row stands where level 1 does not look
+  bool end_write_sent = false;  // its end is on its way to the store: others may read it there before this node knows
+  bool end_is_stored = false;   // its end is in the store and may be told
+  bool residual = false;        // its end was stored by an earlier leader; only its last tasks are looked after
+  bool dependent = false;       // its own row stands where level 1 does not look
   ImageId image;
   // What is known of each row of its tasks in the store; a row tells of a run of task indices.
-  struct Part {
+  struct RowState {
     std::uint32_t size = 0;  // of the run
     Generation changed, stored;
     std::uint32_t in_store = 0;  // how many indices the row that may exist tells of; 0: there is none
   };
-  using Parts = std::map<std::uint32_t, Part>;  // by the first index; no two overlap
-  Parts spans;                                  // rows that name their runs themselves
-  Parts legacy;                                 // rows by number, which versions of level 1 read and write
-  std::vector<std::string> pieces;              // further keys that its own row is spread over
-  std::optional<Time> due;                      // the latest end that lets it and all that need it meet their deadlines
-  Time released{};                              // when the last job that it awaits was done
-  std::set<JobId> open;                         // of those that it awaits, the ones not known to be done
+  using RowStates = std::map<std::uint32_t, RowState>;  // by the first index; no two overlap
+  RowStates task_ranges;                                // rows that name their runs themselves
+  RowStates v1_rows;                                    // rows by number, which versions of level 1 read and write
+  std::vector<std::string> chunk_keys;                  // further keys that its own row is spread over
+  std::optional<Time> effective_deadline;  // the latest end that lets it and all that need it meet their deadlines
+  Time ready_at{};                         // when the last job that it awaits was done
+  std::set<JobId> open_dependencies;       // of those that it awaits, the ones not known to be done
   // In memory only:
-  std::map<std::uint32_t, MachineId> placed;             // tasks that may be on a machine
-  std::set<std::pair<std::uint32_t, MachineId>> strays;  // found on a second machine besides, never on the same
-  std::set<std::uint32_t> returned;                      // came back, to be started again
-  std::uint32_t next_fresh = 0;                          // no index from here on was ever started
+  std::map<std::uint32_t, MachineId> placed;              // tasks that may be on a machine
+  std::set<std::pair<std::uint32_t, MachineId>> orphans;  // found on a second machine besides, never on the same
+  std::set<std::uint32_t> requeued;                       // came back, to be started again
+  std::uint32_t next_unstarted = 0;                       // no index from here on was ever started
   Time not_before{};
   int failures = 0;
   int failed_waves = 0;             // times that it failed, all tasks of one moment together, since the last result
@@ -220,16 +220,16 @@
   bool start_counted = false, late_counted = false;  // in the service record
   Time waiting_since{};
   Time preempt_after{};
-  std::optional<Time> room_at;  // when machines that are on their way will have room for all of it
+  std::optional<Time> capacity_expected_at;  // when machines that are on their way will have room for all of it
 
-  void set_own_urgency();  // as its user stated it
+  void reset_urgency();  // as its user stated it
   // The one function that changes the phase; an end is for good.
   bool enter(JobPhase next);
   [[nodiscard]] std::uint32_t pending_tasks() const;
   [[nodiscard]] std::optional<std::uint32_t> next_pending() const;
   [[nodiscard]] std::uint32_t unfinished() const { return spec.tasks - done.count(); }
   void take(std::uint32_t index, const MachineId& machine);
-  void give_back(std::uint32_t index);
+  void return_to_pending(std::uint32_t index);
   // May be there: as the one place of the task, or besides another.
   void hold(std::uint32_t index, const MachineId& machine);
   [[nodiscard]] std::uint32_t failed_machines() const {
--- a/src/core/policy.cpp
+++ b/src/core/model/policy.cpp
@@ -1,4 +1,4 @@
-#include "core/policy.hpp"
+#include "core/model/policy.hpp"
 
 namespace martenwall {
 
@@ -10,14 +10,14 @@
       input_weight(3.0),
       aging_weight(0.02),
       aging_cap(3.0),
-      rank_weight(2.0),
+      priority_weight(2.0),
       guarantee_weight(3.0),
       packing_weight(1.0),
       spot_weight(0.5),
       begin_weight(0),
       shortage_weight(0),
       shortage_efficiency(0.8),
-      round(seconds(1)),
+      cycle_interval(seconds(1)),
       idle_release(seconds(80)),
       quiet_after(seconds(40)),
       quiet_release(seconds(6)),
@@ -27,14 +27,14 @@
       boot_patience(4.0),
       capacity_retry(seconds(12)),
       lost_patience(seconds(45)),
-      guest_patience(seconds(600)),
-      guest_patience_without_spot(seconds(60)),
+      best_effort_spot_patience(seconds(600)),
+      best_effort_spot_patience_without_spot(seconds(60)),
       direct_starts(true),
-      leave_limits(false),
+      reserve_limit_headroom(false),
       unsaved_stops(false),
       error_limit(2),
       suspect_machines(3),
-      relay_reports(false),
+      relay_heartbeats(false),
       relay_leader_weight(0.5),
       metrics_port(0),
       lease_ttl(seconds(2)),
--- a/src/core/policy.hpp
+++ b/src/core/model/policy.hpp
@@ -19,7 +19,7 @@
   double input_weight;  // Input: images already cached
   double aging_weight;  // Anti-aging, per second waited
   double aging_cap;
-  double rank_weight;       // per step of rank
+  double priority_weight;   // per step of rank
   double guarantee_weight;  // work within its team's guarantee
   double packing_weight;    // fuller machines first, so that whole ones stay free
   double spot_weight;       // spot machines for those who may use them
@@ -27,7 +27,7 @@
   double shortage_weight;   // what cannot be in time, in a shortage: per time that it misses; 0: nobody is told apart
   double shortage_efficiency;  // part of the room freed that is counted on for running work, 0 to 1
   // Rounds and fleet
-  Duration round;
+  Duration cycle_interval;
   Duration idle_release;
   Duration quiet_after;    // without a submission for so long, idle machines go back after
   Duration quiet_release;  // this time already
@@ -36,16 +36,16 @@
   Duration surplus_release;   // idle machines beyond that go back after
   double boot_patience;       // times the nominal boot time before a machine is given up
   Duration capacity_retry;
-  Duration lost_patience;   // how long a machine may be lost, and not listed as failed, until it is returned
-  Duration guest_patience;  // so long a team without guarantee keeps to spot machines
-  Duration guest_patience_without_spot;  // the same where there is no spot machine at all
+  Duration lost_patience;              // how long a machine may be lost, and not listed as failed, until it is returned
+  Duration best_effort_spot_patience;  // so long a team without guarantee keeps to spot machines
+  Duration best_effort_spot_patience_without_spot;  // the same where there is no spot machine at all
   bool direct_starts;
-  bool leave_limits;     // a row that its team's limit keeps waiting is left room for one task by those after it
-  bool unsaved_stops;    // a lone task is stopped for others without saving where that costs less
-  int error_limit;       // failures in a row of different jobs: quarantine
-  int suspect_machines;  // a job that failed on so many, with nothing done, is suspect
+  bool reserve_limit_headroom;  // a row that its team's limit keeps waiting is left room for one task by those after it
+  bool unsaved_stops;           // a lone task is stopped for others without saving where that costs less
+  int error_limit;              // failures in a row of different jobs: quarantine
+  int suspect_machines;         // a job that failed on so many, with nothing done, is suspect
   // Workers
-  bool relay_reports;          // followers take workers' reports and pass them on
+  bool relay_heartbeats;       // followers take workers' reports and pass them on
   double relay_leader_weight;  // part of a follower's share of the workers that report to the leader itself
   int metrics_port;            // of a listener on loopback that serves /metrics; 0: none
   // Leadership
@@ -56,13 +56,13 @@
 
 // How soon the users want work to start, from the settings' objectives.
 struct StartAims {
-  std::map<std::string, std::vector<double>> by_lane;            // seconds from the submission
-  double guarantee_s = 0;                                        // for work within its team's guarantee; 0: none asked
-  std::map<std::string, std::vector<double>> deadlines_by_lane;  // times its deadline within which to be done
+  std::map<std::string, std::vector<double>> by_class;            // seconds from the submission
+  double guarantee_s = 0;                                         // for work within its team's guarantee; 0: none asked
+  std::map<std::string, std::vector<double>> deadlines_by_class;  // times its deadline within which to be done
 };
 
 struct WorkerTerms {
-  double report_s = 3, lease_s = 20, gang_wait_s = 50, gang_peer_s = 4, cancel_s = 40;
+  double heartbeat_interval_s = 3, lease_s = 20, gang_wait_s = 50, gang_peer_s = 4, cancel_s = 40;
 };
 
 }  // namespace martenwall
--- a/src/core/ledger.hpp
+++ b/src/core/model/quota_usage.hpp
@@ -4,13 +4,13 @@
 #include <map>
 #include <string>
 
-#include "core/model.hpp"
+#include "core/model/model.hpp"
 
 namespace martenwall {
 
-class Ledger {
+class QuotaUsage {
  public:
-  explicit Ledger(const std::map<std::string, Team>& teams) : teams_(teams) {}
+  explicit QuotaUsage(const std::map<std::string, Team>& teams) : teams_(teams) {}
   void add(const std::string& team, const Resources& r, double times = 1) { used_[team].add(r, times); }
   [[nodiscard]] Resources used(const std::string& team) const {
     const auto it = used_.find(team);
--- a/src/core/write_queue.hpp
+++ b/src/core/persistence/write_queue.hpp
@@ -12,60 +12,60 @@
 
 namespace martenwall {
 
-enum class Urgency : std::uint8_t {
-  awaited,   // users or starts wait for it
-  borrowed,  // the same, of work that takes what others leave: gets a share, and what is left
-  spare,     // no rule needs it; written when there is nothing else
+enum class WritePriority : std::uint8_t {
+  foreground,   // users or starts wait for it
+  best_effort,  // the same, of work that takes what others leave: gets a share, and what is left
+  deferrable,   // no rule needs it; written when there is nothing else
 };
 
 class WriteQueue {
  public:
   // A row that is queued already keeps the earlier time and the higher urgency.
-  void add(const RowKey& key, Time due, Urgency urgency) {
-    auto [it, fresh] = entries_.try_emplace(key, Entry{urgency, due});
+  void add(const RowKey& key, Time due, WritePriority priority) {
+    auto [it, fresh] = entries_.try_emplace(key, Entry{priority, due});
     if (!fresh) {
-      const Entry both{std::min(it->second.urgency, urgency), std::min(it->second.due, due)};
+      const Entry both{std::min(it->second.priority, priority), std::min(it->second.due, due)};
       if (both == it->second) return;
-      level(it->second.urgency).erase({it->second.due, key});
+      queue_of(it->second.priority).erase({it->second.due, key});
       it->second = both;
     }
-    level(it->second.urgency).emplace(it->second.due, key);
+    queue_of(it->second.priority).emplace(it->second.due, key);
   }
   void drop(const RowKey& key) {
     const auto it = entries_.find(key);
     if (it == entries_.end()) return;
-    level(it->second.urgency).erase({it->second.due, key});
+    queue_of(it->second.priority).erase({it->second.due, key});
     entries_.erase(it);
   }
   // The rows that are due, oldest first; they count as under way until `done`. `spare`: also those that no one
   // waits for, where there are no others.
-  std::vector<RowKey> take(std::size_t most, bool spare, Time now) {
+  std::vector<RowKey> take(std::size_t most, bool deferrable, Time now) {
     std::vector<RowKey> out;
     // Else a flood of small guests would stop everyone's starts, or everyone's starts the guests for good.
-    const std::size_t share = ready(Urgency::borrowed, now) ? std::max<std::size_t>(1, most / 4) : 0;
-    take_some(Urgency::awaited, most - std::min(most, share), now, out);
-    take_some(Urgency::borrowed, most, now, out);
-    take_some(Urgency::awaited, most, now, out);
-    if (out.empty() && spare) take_some(Urgency::spare, most, now, out);
+    const std::size_t share = ready(WritePriority::best_effort, now) ? std::max<std::size_t>(1, most / 4) : 0;
+    take_some(WritePriority::foreground, most - std::min(most, share), now, out);
+    take_some(WritePriority::best_effort, most, now, out);
+    take_some(WritePriority::foreground, most, now, out);
+    if (out.empty() && deferrable) take_some(WritePriority::deferrable, most, now, out);
     return out;
   }
   void done(const RowKey& key) { under_way_.erase(key); }
-  [[nodiscard]] bool waits(const RowKey& key) const { return entries_.contains(key) || under_way_.contains(key); }
+  [[nodiscard]] bool contains(const RowKey& key) const { return entries_.contains(key) || under_way_.contains(key); }
   // Rows whose time has come, and for how long the first of them has waited.
   struct Backlog {
     std::size_t rows = 0;
     Duration oldest{0};
   };
-  [[nodiscard]] Backlog backlog(Urgency urgency, Time now) const {
+  [[nodiscard]] Backlog backlog(WritePriority priority, Time now) const {
     Backlog out;
-    for (const auto& [due, key] : levels_.at(static_cast<std::size_t>(urgency))) {
+    for (const auto& [due, key] : queues_.at(static_cast<std::size_t>(priority))) {
       if (due > now) break;
       if (out.rows++ == 0) out.oldest = now - due;
     }
     return out;
   }
-  [[nodiscard]] bool ready(Urgency urgency, Time now) const {
-    for (const auto& [due, key] : levels_.at(static_cast<std::size_t>(urgency))) {
+  [[nodiscard]] bool ready(WritePriority priority, Time now) const {
+    for (const auto& [due, key] : queues_.at(static_cast<std::size_t>(priority))) {
       if (due > now) return false;
       if (!under_way_.contains(key)) return true;
     }
@@ -74,14 +74,14 @@
 
  private:
   struct Entry {
-    Urgency urgency = Urgency::awaited;
+    WritePriority priority = WritePriority::foreground;
     Time due{};
     bool operator==(const Entry&) const = default;
   };
-  using Level = std::set<std::pair<Time, RowKey>>;
-  Level& level(Urgency u) { return levels_.at(static_cast<std::size_t>(u)); }
-  void take_some(Urgency urgency, std::size_t most, Time now, std::vector<RowKey>& out) {
-    auto& order = level(urgency);
+  using DueOrder = std::set<std::pair<Time, RowKey>>;
+  DueOrder& queue_of(WritePriority u) { return queues_.at(static_cast<std::size_t>(u)); }
+  void take_some(WritePriority priority, std::size_t most, Time now, std::vector<RowKey>& out) {
+    auto& order = queue_of(priority);
     for (auto it = order.begin(); it != order.end() && it->first <= now && out.size() < most;) {
       if (under_way_.contains(it->second)) {
         ++it;
@@ -95,7 +95,7 @@
   }
 
   std::map<RowKey, Entry> entries_;
-  std::array<Level, 3> levels_;
+  std::array<DueOrder, 3> queues_;
   std::set<RowKey> under_way_;
 };
 
--- a/src/core/heuristic_table.cpp
+++ b/src/core/placement/heuristic_table.cpp
@@ -1,4 +1,4 @@
-#include "core/heuristic_table.hpp"
+#include "core/placement/heuristic_table.hpp"
 
 #include <array>
 #include <sstream>
@@ -14,7 +14,7 @@
 constexpr std::array input_weights{HeuristicWeight{"scheduler.input.weight", &Policy::input_weight}};
 constexpr std::array aging_weights{HeuristicWeight{"scheduler.aging.weight", &Policy::aging_weight},
                                    HeuristicWeight{"scheduler.aging.cap", &Policy::aging_cap}};
-constexpr std::array rank_weights{HeuristicWeight{"scheduler.rank.weight", &Policy::rank_weight}};
+constexpr std::array priority_weights{HeuristicWeight{"scheduler.rank.weight", &Policy::priority_weight}};
 constexpr std::array guarantee_weights{HeuristicWeight{"scheduler.guarantee.weight", &Policy::guarantee_weight}};
 constexpr std::array packing_weights{HeuristicWeight{"scheduler.packing.weight", &Policy::packing_weight}};
 constexpr std::array spot_weights{HeuristicWeight{"scheduler.spot.weight", &Policy::spot_weight}};
@@ -28,7 +28,7 @@
     Heuristic{"Wait minimization", heuristics::wait_minimization, wait_weights, "short jobs"},
     Heuristic{"Input", heuristics::input, input_weights, "machines that have the image"},
     Heuristic{"Anti-aging", heuristics::anti_aging, aging_weights, "per second waited, up to the cap"},
-    Heuristic{"Rank", heuristics::rank, rank_weights, "per step of rank"},
+    Heuristic{"Rank", heuristics::priority, priority_weights, "per step of rank"},
     Heuristic{"Guarantee", heuristics::guarantee, guarantee_weights, "work within its team's guarantee"},
     Heuristic{"Packing", heuristics::packing, packing_weights,
               "fuller machines, of empty ones those that idled shortest"},
--- a/src/core/heuristic_table.hpp
+++ b/src/core/placement/heuristic_table.hpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <string_view>
 
-#include "core/heuristics.hpp"
-#include "core/policy.hpp"
+#include "core/model/policy.hpp"
+#include "core/placement/heuristics.hpp"
 
 namespace martenwall {
 
@@ -17,7 +17,7 @@
 
 struct Heuristic {
   std::string_view name;
-  void (*add)(const Board& board, Matrix& m);
+  void (*add)(const PlacementProblem& problem, ScoreMatrix& m);
   std::span<const HeuristicWeight> weights;
   std::string_view what;  // for operators, one line
 };
--- a/src/core/heuristics.hpp
+++ b/src/core/placement/heuristics.hpp
@@ -6,34 +6,34 @@
 #include <set>
 #include <vector>
 
-#include "core/ledger.hpp"
-#include "core/model.hpp"
-#include "core/policy.hpp"
+#include "core/model/model.hpp"
+#include "core/model/policy.hpp"
+#include "core/model/quota_usage.hpp"
 
 namespace martenwall {
 
 // One pending job; an array's pending tasks share one row.
-struct Row {
+struct PendingJob {
   Job* job = nullptr;
   std::uint32_t count = 0;  // tasks that may be placed now
   bool within_guarantee = false;
-  double estimate_s = 0;   // Nxtime: corrected estimate
-  bool even = false;       // a gang whose tasks must all have their image, or all fetch it
-  bool spot_only = false;  // takes what others leave: keeps off the ordinary machines
-  double deferred = 0;     // in a shortage: of the times that it should meet, those that it is expected to miss
+  double estimate_s = 0;       // Nxtime: corrected estimate
+  bool uniform_image = false;  // a gang whose tasks must all have their image, or all fetch it
+  bool spot_only = false;      // takes what others leave: keeps off the ordinary machines
+  double expected_misses = 0;  // in a shortage: of the times that it should meet, those that it is expected to miss
   // In a shortage, of work that can be in time: 0 to 1 in place of the curve's rise, the least work highest.
-  std::optional<double> pressing{};
-  bool overdue = false;  // nothing of it began for long: this is about its first task alone
-  Resources leaves{};    // of its team's limit, to a row that goes before it and needs more for one task
+  std::optional<double> shortage_order{};
+  bool begin_overdue = false;     // nothing of it began for long: this is about its first task alone
+  Resources reserved_headroom{};  // of its team's limit, to a row that goes before it and needs more for one task
 };
 
-struct Column {
+struct CandidateMachine {
   Machine* machine = nullptr;
   const MachineType* type = nullptr;
   Resources free;
-  std::size_t slots = 0;              // further tasks that one machine may hold
-  Rank held_for = Rank::best_effort;  // a gang of this rank gathers the machine: lower ranks keep off
-  std::size_t kind = 0;               // of `Board::kinds`
+  std::size_t slots = 0;                               // further tasks that one machine may hold
+  Priority reserved_priority = Priority::best_effort;  // a gang of this rank gathers the machine: lower ranks keep off
+  std::size_t kind = 0;                                // of `Board::kinds`
 };
 
 // Machines of one type in one zone, spot or not: what a job demands of its place is looked up once for all of them.
@@ -47,9 +47,9 @@
 // For each kind: may a task of the job run there?
 std::vector<char> allowed_kinds(const JobSpec& spec, const std::vector<MachineKind>& kinds);
 
-class Matrix {
+class ScoreMatrix {
  public:
-  Matrix(std::size_t rows, std::size_t columns)
+  ScoreMatrix(std::size_t rows, std::size_t columns)
       : columns_(columns), values_(rows * columns, 0.0), fits_(rows * columns, 0) {}
   double& at(std::size_t r, std::size_t c) { return values_[r * columns_ + c]; }
   [[nodiscard]] double at(std::size_t r, std::size_t c) const { return values_[r * columns_ + c]; }
@@ -62,17 +62,17 @@
   std::vector<char> fits_;
 };
 
-struct Board {
+struct PlacementProblem {
   Time now{};
   const Policy& policy;
-  std::vector<Row> rows;
-  std::vector<Column> columns;  // by `add`
+  std::vector<PendingJob> jobs;
+  std::vector<CandidateMachine> machines;  // by `add`
   std::vector<MachineKind> kinds{};
   std::set<JobId> guaranteed{};  // unfinished jobs within their team's guarantee, running ones too
   // Seconds between reports. When a machine became idle is known no better: finer differences are accidents of the
   // order in which reports arrive, which differs with the node that takes them, and must not choose a machine.
-  double idle_grain_s = 0;
-  void add(Column column);
+  double idle_granularity_s = 0;
+  void add(CandidateMachine column);
 };
 
 // May a task of this job ever run on such a machine?
@@ -82,28 +82,28 @@
 double deadline_curve(const Policy& p, double extime_s, double deadline_s, double nxtime_s);
 
 namespace heuristics {
-void minimal_requirements(const Board& board, Matrix& m);
-void deadline(const Board& board, Matrix& m);
-void wait_minimization(const Board& board, Matrix& m);
-void input(const Board& board, Matrix& m);
-void anti_aging(const Board& board, Matrix& m);
-void rank(const Board& board, Matrix& m);
-void guarantee(const Board& board, Matrix& m);
-void packing(const Board& board, Matrix& m);
-void spot_preference(const Board& board, Matrix& m);
-void shortage(const Board& board, Matrix& m);
-void beginning(const Board& board, Matrix& m);
-void suspicion(const Board& board, Matrix& m);
+void minimal_requirements(const PlacementProblem& problem, ScoreMatrix& m);
+void deadline(const PlacementProblem& problem, ScoreMatrix& m);
+void wait_minimization(const PlacementProblem& problem, ScoreMatrix& m);
+void input(const PlacementProblem& problem, ScoreMatrix& m);
+void anti_aging(const PlacementProblem& problem, ScoreMatrix& m);
+void priority(const PlacementProblem& problem, ScoreMatrix& m);
+void guarantee(const PlacementProblem& problem, ScoreMatrix& m);
+void packing(const PlacementProblem& problem, ScoreMatrix& m);
+void spot_preference(const PlacementProblem& problem, ScoreMatrix& m);
+void shortage(const PlacementProblem& problem, ScoreMatrix& m);
+void beginning(const PlacementProblem& problem, ScoreMatrix& m);
+void suspicion(const PlacementProblem& problem, ScoreMatrix& m);
 }  // namespace heuristics
 
 // Machines that waiting gangs gather, in the order of their ranks. A gang would stop what lower ranks start
 // there meanwhile, and its image would share the machine's fetch with theirs.
-void hold_for_gangs(Board& board, Ledger used);
+void reserve_for_gangs(PlacementProblem& problem, QuotaUsage used);
 
 // Of each team the best row that its limit keeps waiting: rows after it that need less leave it room for one task.
 // What comes free of a limit comes in the size of the tasks that end, and small ones would take it for ever.
-void leave_limits(Board& board, Ledger used, const std::vector<MachineType>& types);
+void reserve_limit_headroom(PlacementProblem& problem, QuotaUsage used, const std::vector<MachineType>& types);
 
-Matrix build_matrix(const Board& board);
+ScoreMatrix build_scores(const PlacementProblem& problem);
 
 }  // namespace martenwall
--- a/src/core/matcher.cpp
+++ b/src/core/placement/matcher.cpp
@@ -1,4 +1,4 @@
-#include "core/matcher.hpp"
+#include "core/placement/matcher.hpp"
 
 #include <algorithm>
 #include <queue>
@@ -23,11 +23,12 @@
   return (it == counts.end() ? 0 : it->second) < (spec.tasks + 1) / 2;
 }
 
-Matcher::Matcher(Board& board, Matrix& matrix, Ledger& ledger, const std::map<MachineId, Machine>& machines)
-    : board_(board), matrix_(matrix), ledger_(ledger), machines_(machines), zones_(board.rows.size()) {
-  for (std::size_t r = 0; r < board_.rows.size(); ++r) {
-    const auto& spec = board_.rows[r].job->spec;
-    if (spec.one_zone || spec.spread) zones_[r] = zones_of(*board_.rows[r].job, machines_);
+Matcher::Matcher(PlacementProblem& problem, ScoreMatrix& matrix, QuotaUsage& quota_usage,
+                 const std::map<MachineId, Machine>& machines)
+    : problem_(problem), matrix_(matrix), quota_usage_(quota_usage), machines_(machines), zones_(problem.jobs.size()) {
+  for (std::size_t r = 0; r < problem_.jobs.size(); ++r) {
+    const auto& spec = problem_.jobs[r].job->spec;
+    if (spec.one_zone || spec.spread) zones_[r] = zones_of(*problem_.jobs[r].job, machines_);
   }
 }
 
@@ -50,24 +51,24 @@
 // their turn comes: most are closed, or out of room, long before their last entry.
 std::vector<Match> Matcher::run() {
   std::priority_queue<Head> heads;
-  std::vector<std::vector<std::size_t>> order(board_.rows.size());
-  std::vector<std::size_t> next(board_.rows.size(), 0);
-  for (std::size_t r = 0; r < board_.rows.size(); ++r) {
+  std::vector<std::vector<std::size_t>> order(problem_.jobs.size());
+  std::vector<std::size_t> next(problem_.jobs.size(), 0);
+  for (std::size_t r = 0; r < problem_.jobs.size(); ++r) {
     const auto best = best_column(r);
     if (best) heads.push({matrix_.at(r, *best), r, *best});
   }
   while (!heads.empty()) {
     const Head head = heads.top();
     heads.pop();
-    if (board_.rows[head.row].job->spec.shape == Shape::gang) {
+    if (problem_.jobs[head.row].job->spec.kind == JobKind::gang) {
       place_gang(head.row);
       continue;
     }
     while (place_one(head.row, head.column)) {
     }
-    if (board_.rows[head.row].count == 0) continue;
+    if (problem_.jobs[head.row].count == 0) continue;
     auto& columns = order[head.row];
-    if (columns.empty()) columns = falling_columns(head.row);
+    if (columns.empty()) columns = columns_by_score(head.row);
     // Room, slots, limits and zones only shrink within a round: what can take nothing now never will.
     auto& n = next[head.row];
     ++n;
@@ -79,7 +80,7 @@
 
 std::optional<std::size_t> Matcher::best_column(std::size_t row) const {
   std::optional<std::size_t> best;
-  for (std::size_t c = 0; c < board_.columns.size(); ++c) {
+  for (std::size_t c = 0; c < problem_.machines.size(); ++c) {
     if (matrix_.allowed(row, c) && (!best || matrix_.at(row, c) > matrix_.at(row, *best))) best = c;
   }
   return best;
@@ -87,37 +88,38 @@
 
 std::vector<std::size_t> Matcher::allowed_columns(std::size_t row, const std::string* only_zone) const {
   std::vector<char> in_zone;
-  for (const auto& k : board_.kinds) in_zone.push_back(only_zone == nullptr || k.zone == *only_zone ? 1 : 0);
+  for (const auto& k : problem_.kinds) in_zone.push_back(only_zone == nullptr || k.zone == *only_zone ? 1 : 0);
   std::vector<std::size_t> out;
-  for (std::size_t c = 0; c < board_.columns.size(); ++c) {
-    if (matrix_.allowed(row, c) && in_zone[board_.columns[c].kind] != 0) out.push_back(c);
+  for (std::size_t c = 0; c < problem_.machines.size(); ++c) {
+    if (matrix_.allowed(row, c) && in_zone[problem_.machines[c].kind] != 0) out.push_back(c);
   }
   return out;
 }
 
-std::vector<std::size_t> Matcher::falling_columns(std::size_t row) const {
+std::vector<std::size_t> Matcher::columns_by_score(std::size_t row) const {
   auto out = allowed_columns(row, nullptr);
   std::ranges::stable_sort(out, [&](auto a, auto b) { return matrix_.at(row, a) > matrix_.at(row, b); });
   return out;
 }
 
 void Matcher::take(std::size_t row, std::size_t column) {
-  auto& r = board_.rows[row];
-  auto& c = board_.columns[column];
+  auto& r = problem_.jobs[row];
+  auto& c = problem_.machines[column];
   c.free.add(r.job->spec.need, -1);
   --c.slots;
-  ledger_.add(r.job->spec.team, r.job->spec.need);
+  quota_usage_.add(r.job->spec.team, r.job->spec.need);
   ++zones_[row][c.machine->zone];
   --r.count;
 }
 
 bool Matcher::can_take(std::size_t row, std::size_t column) const {
-  const auto& r = board_.rows[row];
+  const auto& r = problem_.jobs[row];
   const auto& spec = r.job->spec;
-  const auto& c = board_.columns[column];
+  const auto& c = problem_.machines[column];
   // Team limits clear the entry.
   return r.count > 0 && c.slots > 0 && spec.need.fits_in(c.free) &&
-         ledger_.room_for(spec.team, spec.need, r.leaves) > 0 && zone_allows(spec, zones_[row], c.machine->zone);
+         quota_usage_.room_for(spec.team, spec.need, r.reserved_headroom) > 0 &&
+         zone_allows(spec, zones_[row], c.machine->zone);
 }
 
 bool Matcher::place_one(std::size_t row, std::size_t column) {
@@ -128,7 +130,7 @@
 }
 
 bool Matcher::pick_gang_columns(std::size_t row, const std::string* only_zone, std::vector<std::size_t>& out) {
-  if (!board_.rows[row].even) return pick_gang_columns(row, only_zone, std::nullopt, out);
+  if (!problem_.jobs[row].uniform_image) return pick_gang_columns(row, only_zone, std::nullopt, out);
   if (pick_gang_columns(row, only_zone, true, out)) return true;
   out.clear();
   return pick_gang_columns(row, only_zone, false, out);
@@ -137,7 +139,7 @@
 // `cached`: only machines that have the image, or only those that have not.
 bool Matcher::pick_gang_columns(std::size_t row, const std::string* only_zone, std::optional<bool> cached,
                                 std::vector<std::size_t>& out) {
-  const auto& job = *board_.rows[row].job;
+  const auto& job = *problem_.jobs[row].job;
   const auto& spec = job.spec;
   ZoneCounts counts;
   // A gang takes a few of many: they are picked off a heap, in the order in which sorting would put them.
@@ -152,10 +154,10 @@
     std::ranges::pop_heap(left, later);
     const auto c = left.back();
     left.pop_back();
-    if (cached && board_.columns[c].machine->has_image(job.image) != *cached) continue;
-    auto room = board_.columns[c].free;
-    const auto& zone = board_.columns[c].machine->zone;
-    auto slots = board_.columns[c].slots;
+    if (cached && problem_.machines[c].machine->has_image(job.image) != *cached) continue;
+    auto room = problem_.machines[c].free;
+    const auto& zone = problem_.machines[c].machine->zone;
+    auto slots = problem_.machines[c].slots;
     while (out.size() < spec.tasks && slots-- > 0 && spec.need.fits_in(room) && zone_allows(spec, counts, zone)) {
       out.push_back(c);
       room.add(spec.need, -1);
@@ -166,14 +168,14 @@
 }
 
 bool Matcher::place_gang(std::size_t row) {
-  const auto& spec = board_.rows[row].job->spec;
-  if (ledger_.room_for(spec.team, spec.need, board_.rows[row].leaves) < spec.tasks) return false;
+  const auto& spec = problem_.jobs[row].job->spec;
+  if (quota_usage_.room_for(spec.team, spec.need, problem_.jobs[row].reserved_headroom) < spec.tasks) return false;
   std::vector<std::size_t> best;
   if (!spec.one_zone) {
     if (!pick_gang_columns(row, nullptr, best)) return false;
   } else {
     std::set<std::string> zones;
-    for (const auto& k : board_.kinds) zones.insert(k.zone);
+    for (const auto& k : problem_.kinds) zones.insert(k.zone);
     double best_value = 0;
     for (const auto& zone : zones) {
       std::vector<std::size_t> some;
--- a/src/core/matcher.hpp
+++ b/src/core/placement/matcher.hpp
@@ -3,8 +3,8 @@
 #include <optional>
 #include <vector>
 
-#include "core/heuristics.hpp"
-#include "core/ledger.hpp"
+#include "core/model/quota_usage.hpp"
+#include "core/placement/heuristics.hpp"
 
 namespace martenwall {
 
@@ -21,7 +21,8 @@
 
 class Matcher {
  public:
-  Matcher(Board& board, Matrix& matrix, Ledger& ledger, const std::map<MachineId, Machine>& machines);
+  Matcher(PlacementProblem& problem, ScoreMatrix& matrix, QuotaUsage& quota_usage,
+          const std::map<MachineId, Machine>& machines);
   std::vector<Match> run();
 
  private:
@@ -33,12 +34,12 @@
                          std::vector<std::size_t>& out);
   [[nodiscard]] std::optional<std::size_t> best_column(std::size_t row) const;
   [[nodiscard]] std::vector<std::size_t> allowed_columns(std::size_t row, const std::string* only_zone) const;
-  [[nodiscard]] std::vector<std::size_t> falling_columns(std::size_t row) const;
+  [[nodiscard]] std::vector<std::size_t> columns_by_score(std::size_t row) const;
   void take(std::size_t row, std::size_t column);
 
-  Board& board_;
-  Matrix& matrix_;
-  Ledger& ledger_;
+  PlacementProblem& problem_;
+  ScoreMatrix& matrix_;
+  QuotaUsage& quota_usage_;
   const std::map<MachineId, Machine>& machines_;
   std::vector<ZoneCounts> zones_;
   std::vector<Match> matches_;
--- a/src/core/preemption.hpp
+++ b/src/core/placement/preemption.hpp
@@ -3,13 +3,13 @@
 #include <optional>
 #include <vector>
 
-#include "core/heuristics.hpp"
-#include "core/ledger.hpp"
-#include "core/matcher.hpp"
+#include "core/model/quota_usage.hpp"
+#include "core/placement/heuristics.hpp"
+#include "core/placement/matcher.hpp"
 
 namespace martenwall {
 
-struct Eviction {
+struct PreemptionPlan {
   std::vector<Machine*> machines;  // to be kept for the job
   std::vector<std::pair<MachineId, TaskId>> victims;
   double cost = 0;  // GPU-seconds: work lost, and the cold fetches to come
@@ -36,7 +36,7 @@
 // its own. Of the two, rank is looked at first and the guarantee decides among equals: were each
 // enough by itself, a higher rank without guarantee and a lower one within it would stop each other
 // in turn for ever.
-bool may_evict(const Row& row, const Victim& victim);
+bool may_preempt(const PendingJob& pending, const Victim& victim);
 // Seconds that a lone task is given to save when it is stopped for others: none where what it did since its last
 // checkpoint is on the mean less than the saving takes. Its place is then free at once.
 double grace_s(const Policy& policy, const JobSpec& spec);
@@ -44,7 +44,7 @@
 double lost_work_s(const Policy& policy, const JobSpec* spec, const MachineType& type, const Placement& victim,
                    Time now);
 // Room for `wanted` tasks; of an array also for fewer. `there`: the job's other tasks by zone, where they bind it.
-std::optional<Eviction> plan_eviction(const VictimTable& table, const Row& row, std::uint32_t wanted,
-                                      const ZoneCounts& there);
+std::optional<PreemptionPlan> plan_preemption(const VictimTable& table, const PendingJob& pending, std::uint32_t wanted,
+                                              const ZoneCounts& there);
 
 }  // namespace martenwall
--- a/src/core/ears.hpp
+++ b/src/core/reachability/downlink_health.hpp
@@ -8,39 +8,39 @@
 
 namespace martenwall {
 
-enum class EarState : std::uint8_t {
-  hears,
-  doubted,  // an order was not taken up, or a session ended that was answered: nothing new is placed there
-  deaf,     // so again: what was not started there goes elsewhere
+enum class DownlinkState : std::uint8_t {
+  reachable,
+  suspected,    // an order was not taken up, or a session ended that was answered: nothing new is placed there
+  unreachable,  // so again: what was not started there goes elsewhere
 };
-std::string_view name_of(EarState s);
+std::string_view name_of(DownlinkState s);
 
-class Ears {
+class DownlinkHealth {
  public:
   // A report of this session came, the newest so far. `lease`: after so long in one session its worker must have heard
   // an answer.
-  void reported(Session session, Duration lease, Time now);
+  void on_heartbeat(Incarnation incarnation, Duration lease, Time now);
   // It carries something that only an order or an answer can have brought about.
-  void heard(Time now);
+  void on_delivery_confirmed(Time now);
   // It lacks what the answer to an earlier report told it to do, or tells of a new session although the last one's
   // reports were answered. Once a report at most.
-  void missed(Time now);
+  void on_delivery_missed(Time now);
 
-  [[nodiscard]] EarState state() const { return state_; }
-  [[nodiscard]] bool hears() const { return state_ == EarState::hears; }
-  [[nodiscard]] bool deaf() const { return state_ == EarState::deaf; }
+  [[nodiscard]] DownlinkState state() const { return state_; }
+  [[nodiscard]] bool is_reachable() const { return state_ == DownlinkState::reachable; }
+  [[nodiscard]] bool is_unreachable() const { return state_ == DownlinkState::unreachable; }
   [[nodiscard]] Time since() const { return since_; }
   // While it is in doubt a command without orders is tried now and then: its answer shows that it hears.
   [[nodiscard]] bool takes_probe(Time now);
 
  private:
-  void enter(EarState next, Time now);
-  EarState state_ = EarState::hears;
+  void enter(DownlinkState next, Time now);
+  DownlinkState state_ = DownlinkState::reachable;
   Time since_{};
-  Session session_{};
+  Incarnation incarnation_{};
   Time proof_from_{};  // what is left of its session from here on shows that it heard something since
   Time last_probe_{Duration::min() / 2};
-  int missed_ = 0;
+  int misses_ = 0;
 };
 
 }  // namespace martenwall
--- a/src/core/scheduler_blame.cpp
+++ b/src/core/scheduler/failure_attribution.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 
 namespace martenwall {
 
@@ -20,26 +20,26 @@
 }
 }  // namespace
 
-void Scheduler::on_error(Machine& m, Job& job, Time now) {
+void Scheduler::on_task_error(Machine& m, Job& job, Time now) {
   ++job.failures;
-  stale_ = true;
+  needs_cycle_ = true;
   // The tasks that fail together were started together: they count as one try.
   if (now >= job.not_before) ++job.failed_waves;
   if (job.done.count() == 0) job.failed_on.insert(m.id);
-  if (!job.suspect) m.blamed_by.insert(job.spec.id);
-  review(job, now);
+  if (!job.suspect) m.failing_jobs.insert(job.spec.id);
+  review_suspicion(job, now);
   const double pause = job.suspect ? pause_s(first_probe_s, longest_probe_s, job.failed_waves - 1)
                                    : pause_s(first_pause_s, longest_pause_s, job.failed_waves);
   job.not_before = std::max(job.not_before, now + seconds(pause));
   if (job.suspect) return;
   m.no_starts_before = now + machine_pause;
   // Judged later: within the pause most jobs have been tried elsewhere, which tells whose fault it was.
-  m.judged_at = now + machine_doubt;
+  m.evaluate_at = now + machine_doubt;
 }
 
 // Failures here that are not explained by a job that fails elsewhere too.
-int Scheduler::blame_of(const Machine& m) const {
-  return static_cast<int>(std::ranges::count_if(m.blamed_by, [&](const JobId& id) {
+int Scheduler::unexplained_failures(const Machine& m) const {
+  return static_cast<int>(std::ranges::count_if(m.failing_jobs, [&](const JobId& id) {
     const auto it = jobs_.find(id);
     if (it == jobs_.end()) return true;  // it completed elsewhere; a cancelled one is taken out
     const auto& job = it->second;
@@ -47,39 +47,39 @@
   }));
 }
 
-void Scheduler::judge_machines(Time now) {
+void Scheduler::evaluate_machines(Time now) {
   for (auto& [id, m] : machines_) {
-    if (m.quarantined || m.blamed_by.empty() || now < m.judged_at) continue;
-    if (blame_of(m) >= setup_.policy.error_limit) condemn(m, now);
+    if (m.quarantined || m.failing_jobs.empty() || now < m.evaluate_at) continue;
+    if (unexplained_failures(m) >= options_.policy.error_limit) quarantine(m, now);
   }
 }
 
 // Fails on several machines, with nothing done: the job is to blame, and no machine on its account.
-void Scheduler::review(Job& job, Time now) {
+void Scheduler::review_suspicion(Job& job, Time now) {
   if (job.suspect || job.done.count() > 0 || is_final(job.phase)) return;
-  if (static_cast<int>(job.failed_machines()) < setup_.policy.suspect_machines) return;
+  if (static_cast<int>(job.failed_machines()) < options_.policy.suspect_machines) return;
   job.suspect = true;
   job.failed_waves = 1;
   log_("job " + job.spec.id.value() + " is suspect: it failed on " + std::to_string(job.failed_machines()) +
        " machines and nothing of it is done; it is tried seldom until a task of it completes");
-  clear_machines_of(job, now);
+  forget_failures_of(job, now);
 }
 
-void Scheduler::absolve(Job& job, const char* why) {
+void Scheduler::clear_suspicion(Job& job, const char* why) {
   job.failed_on.clear();
   job.failed_before = 0;
   job.failed_waves = 0;
   job.not_before = {};
   if (!job.suspect) return;
   job.suspect = false;
-  stale_ = true;
+  needs_cycle_ = true;
   log_("job " + job.spec.id.value() + " is not suspect any more: " + why);
 }
 
 // Fails tasks of different jobs that are not suspect: what failed here does not speak against the jobs.
-void Scheduler::condemn(Machine& m, Time now) {
+void Scheduler::quarantine(Machine& m, Time now) {
   m.quarantined = true;
-  for (const auto& id : m.blamed_by) {
+  for (const auto& id : m.failing_jobs) {
     const auto it = jobs_.find(id);
     if (it != jobs_.end()) it->second.failed_on.erase(m.id);
   }
@@ -87,27 +87,27 @@
 }
 
 // What the job failed on does not speak against the machines any more.
-void Scheduler::clear_machines_of(const Job& job, Time now) {
+void Scheduler::forget_failures_of(const Job& job, Time now) {
   for (auto& [id, m] : machines_) {
-    if (m.blamed_by.contains(job.spec.id)) let_back(m, job.spec.id, now);
+    if (m.failing_jobs.contains(job.spec.id)) release_from_quarantine(m, job.spec.id, now);
   }
 }
 
-void Scheduler::let_back(Machine& m, const JobId& job, Time now) {
-  m.blamed_by.erase(job);
-  if (m.blamed_by.empty()) m.no_starts_before = std::min(m.no_starts_before, now);
-  if (!m.quarantined || m.phase() != MachinePhase::draining || m.taken_at) return;
-  if (blame_of(m) >= setup_.policy.error_limit) return;
+void Scheduler::release_from_quarantine(Machine& m, const JobId& job, Time now) {
+  m.failing_jobs.erase(job);
+  if (m.failing_jobs.empty()) m.no_starts_before = std::min(m.no_starts_before, now);
+  if (!m.quarantined || m.phase() != MachinePhase::draining || m.reclaimed_at) return;
+  if (unexplained_failures(m) >= options_.policy.error_limit) return;
   m.quarantined = false;
   m.enter(MachinePhase::up, now);
-  stale_ = true;
+  needs_cycle_ = true;
   log_("machine " + m.id.value() + " is let back: the fault was with job " + job.value());
 }
 
 // A suspect array is tried with one task at a time. A replica that keeps running shows that its job is well.
 bool Scheduler::may_probe(Job& job, Time now) {
-  if (job.spec.shape == Shape::service && job.running > 0 && now - job.not_before > replica_trusted_after) {
-    absolve(job, "a replica of it keeps running");
+  if (job.spec.kind == JobKind::service && job.running > 0 && now - job.not_before > replica_trusted_after) {
+    clear_suspicion(job, "a replica of it keeps running");
     return true;
   }
   return job.placed.empty();
--- a/src/core/scheduler_limits.cpp
+++ b/src/core/scheduler/quota_enforcement.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 
 namespace martenwall {
 
@@ -22,7 +22,7 @@
   const bool a_runs = a.running_since != Time{};
   const bool b_runs = b.running_since != Time{};
   if (a_runs != b_runs) return b_runs;
-  if (a.rank != b.rank) return a.rank < b.rank;
+  if (a.priority != b.priority) return a.priority < b.priority;
   if (a.placed_at != b.placed_at) return a.placed_at > b.placed_at;
   return a.task < b.task;
 }
@@ -37,28 +37,28 @@
 void Scheduler::configure(const std::vector<Team>& teams, const Policy& policy) {
   teams_.clear();
   for (const auto& t : teams) teams_[t.name] = t;
-  setup_.policy = policy;
-  setup_.limits_change = true;
+  options_.policy = policy;
+  options_.limits_change = true;
   for (auto& [id, job] : jobs_) job.limit_logged = false;
-  stale_ = true;
+  needs_cycle_ = true;
 }
 
-void Scheduler::bring_down_to_limits(Time now) {
-  if (!setup_.limits_change) return;
+void Scheduler::enforce_limits(Time now) {
+  if (!options_.limits_change) return;
   std::vector<std::string> teams;
-  for (const auto& [name, used] : used_.all()) {
+  for (const auto& [name, used] : quota_usage_.all()) {
     if (over(team_of(name), used)) teams.push_back(name);
   }
-  for (const auto& name : teams) bring_down(name, now);
+  for (const auto& name : teams) enforce_limit(name, now);
 }
 
-void Scheduler::bring_down(const std::string& team, Time now) {
-  Resources left = used_.used(team);  // once all that is being stopped has gone
+void Scheduler::enforce_limit(const std::string& team, Time now) {
+  Resources left = quota_usage_.used(team);  // once all that is being stopped has gone
   std::vector<std::pair<Machine*, Placement*>> candidates;
   for (auto& [id, m] : machines_) {
     for (auto& p : m.placements) {
       if (!p.occupies() || p.team != team) continue;
-      if (p.stop_wanted) {
+      if (p.stop_requested) {
         left.add(p.need, -1);
       } else {
         candidates.emplace_back(&m, &p);
@@ -69,28 +69,29 @@
   std::set<MachineId> changed;
   for (const auto& [m, p] : candidates) {
     if (!over(team_of(team), left)) break;
-    if (p->stop_wanted) continue;  // with the rest of its gang
+    if (p->stop_requested) continue;  // with the rest of its gang
     const auto it = jobs_.find(p->task.job);
-    const bool gang = it != jobs_.end() && it->second.spec.shape == Shape::gang;
+    const bool gang = it != jobs_.end() && it->second.spec.kind == JobKind::gang;
     left.add(p->need, gang ? -static_cast<double>(it->second.placed.size()) : -1);
     if (gang) {
       for (const auto& [index, machine] : it->second.placed) changed.insert(machine);
-      stop_in_order(it->second, now, "its team is beyond its limit");
+      stop_gracefully(it->second, now, "its team is beyond its limit");
     } else {
-      const double grace = it != jobs_.end() && it->second.spec.checkpoint_s > 0 ? it->second.spec.save_s : 0;
-      want_stop(*m, *p, grace, now, "its team is beyond its limit");
+      const double grace =
+          it != jobs_.end() && it->second.spec.checkpoint_interval_s > 0 ? it->second.spec.checkpoint_duration_s : 0;
+      request_stop(*m, *p, grace, now, "its team is beyond its limit");
       changed.insert(m->id);
     }
   }
-  for (const auto& id : changed) sweep(machines_.at(id));
+  for (const auto& id : changed) erase_removed(machines_.at(id));
 }
 
 // Why nothing of a job can start, where that lies with its team; else nothing.
-std::string Scheduler::why_it_waits(const Job& job) const {
+std::string Scheduler::pending_reason(const Job& job) const {
   if (is_final(job.phase)) return {};
   const Team* team = team_of(job.spec.team);
   if (team == nullptr) return "team " + job.spec.team + " is not configured";
-  const auto need = job.spec.need.times(job.spec.shape == Shape::array ? 1 : job.spec.tasks);
+  const auto need = job.spec.need.times(job.spec.kind == JobKind::array ? 1 : job.spec.tasks);
   if (over(team, need)) return "needs more than the limit of team " + job.spec.team;
   return {};
 }
--- a/src/core/scheduler_load.cpp
+++ b/src/core/scheduler/shortage.cpp
@@ -3,8 +3,8 @@
 #include <limits>
 #include <map>
 
-#include "core/scheduler.hpp"
-#include "load/triage.hpp"
+#include "core/scheduler/scheduler.hpp"
+#include "load/overload_admission.hpp"
 
 namespace martenwall {
 
@@ -25,7 +25,7 @@
     if (k >= rooms_.size()) rooms_.resize(k + 1);
     rooms_[k].left.add(type.room);
     for (const auto& p : m.placements) {
-      if (p.occupies()) rooms_[k].used.at(static_cast<std::size_t>(p.rank)).add(p.need);
+      if (p.occupies()) rooms_[k].used.at(static_cast<std::size_t>(p.priority)).add(p.need);
     }
   }
 
@@ -33,21 +33,21 @@
   [[nodiscard]] std::size_t kinds() const { return kinds_.size(); }
 
   // Lower ranks' work can be stopped, so it counts as free.
-  [[nodiscard]] load::Pool pool(const std::vector<char>& allowed, Rank rank) const {
+  [[nodiscard]] load::Pool pool(const std::vector<char>& allowed, Priority priority) const {
     Resources room;
     Resources free;
     for (std::size_t k = 0; k < rooms_.size(); ++k) {
       if (allowed[k] == 0) continue;
       room.add(rooms_[k].left);
       free.add(rooms_[k].left);
-      free.add(rooms_[k].used.at(static_cast<std::size_t>(rank)), -1);
+      free.add(rooms_[k].used.at(static_cast<std::size_t>(priority)), -1);
     }
     return {amount(free), amount(room)};
   }
 
   // Lower ranks are left what this one neither uses nor waits for.
-  void take_used(Rank rank) {
-    for (auto& r : rooms_) r.left.add(r.used.at(static_cast<std::size_t>(rank)), -1);
+  void take_used(Priority priority) {
+    for (auto& r : rooms_) r.left.add(r.used.at(static_cast<std::size_t>(priority)), -1);
   }
   void take_wanted(const std::vector<char>& allowed, const Resources& wanted) {
     double gpus = 0;
@@ -91,19 +91,19 @@
 }  // namespace
 
 // Seconds from now until its pending tasks must start for each time that the job should meet, tightest first.
-std::vector<double> Scheduler::latest_starts(const Row& row, Time now) const {
-  const auto& job = *row.job;
+std::vector<double> Scheduler::latest_starts(const PendingJob& pending, Time now) const {
+  const auto& job = *pending.job;
   std::vector<double> out;
-  if (const auto aims = setup_.aims.by_lane.find(job.spec.lane); aims != setup_.aims.by_lane.end()) {
-    for (const double within_s : aims->second) out.push_back(to_seconds(job.released - now) + within_s);
+  if (const auto aims = options_.aims.by_class.find(job.spec.job_class); aims != options_.aims.by_class.end()) {
+    for (const double within_s : aims->second) out.push_back(to_seconds(job.ready_at - now) + within_s);
   }
-  if (job.due) {
+  if (job.effective_deadline) {
     std::vector<double> times{1.0};
-    const auto aims = setup_.aims.deadlines_by_lane.find(job.spec.lane);
-    if (aims != setup_.aims.deadlines_by_lane.end()) times = aims->second;
+    const auto aims = options_.aims.deadlines_by_class.find(job.spec.job_class);
+    if (aims != options_.aims.deadlines_by_class.end()) times = aims->second;
     for (const double t : times) {
-      out.push_back(to_seconds(job.submitted - now) + t * to_seconds(*job.due - job.submitted) -
-                    run_margin * row.estimate_s);
+      out.push_back(to_seconds(job.submitted - now) + t * to_seconds(*job.effective_deadline - job.submitted) -
+                    run_margin * pending.estimate_s);
     }
   }
   std::ranges::sort(out);
@@ -111,99 +111,100 @@
 }
 
 // A last time that is asked for its class is past: to have started, or to be done.
-bool Scheduler::misses_last_time(const Job& job, Time now) const {
+bool Scheduler::misses_last_target(const Job& job, Time now) const {
   const auto past = [now](Time since, double within_s) { return to_seconds(now - since) > within_s; };
-  const auto starts = setup_.aims.by_lane.find(job.spec.lane);
-  if (!job.start_counted && starts != setup_.aims.by_lane.end() &&
-      past(job.released, std::ranges::max(starts->second))) {
+  const auto starts = options_.aims.by_class.find(job.spec.job_class);
+  if (!job.start_counted && starts != options_.aims.by_class.end() &&
+      past(job.ready_at, std::ranges::max(starts->second))) {
     return true;
   }
-  if (!job.due) return false;
+  if (!job.effective_deadline) return false;
   double longest = 1;
-  const auto ends = setup_.aims.deadlines_by_lane.find(job.spec.lane);
-  if (ends != setup_.aims.deadlines_by_lane.end()) longest = std::ranges::max(ends->second);
-  return past(job.submitted, longest * to_seconds(*job.due - job.submitted));
+  const auto ends = options_.aims.deadlines_by_class.find(job.spec.job_class);
+  if (ends != options_.aims.deadlines_by_class.end()) longest = std::ranges::max(ends->second);
+  return past(job.submitted, longest * to_seconds(*job.effective_deadline - job.submitted));
 }
 
-void Scheduler::count_late(Time now) {
+void Scheduler::count_missed_targets(Time now) {
   for (auto& [id, job] : jobs_) {
-    if (job.late_counted || job.ghost || is_final(job.phase) || job.phase == JobPhase::waiting) continue;
-    if (!misses_last_time(job, now)) continue;
+    if (job.late_counted || job.residual || is_final(job.phase) || job.phase == JobPhase::waiting) continue;
+    if (!misses_last_target(job, now)) continue;
     job.late_counted = true;
-    served_.missed(job.spec.lane, job.spec.team);
+    service_record_.missed(job.spec.job_class, job.spec.team);
   }
 }
 
 // Rows that are expected to miss times which others of their rank can meet are marked as deferred.
-void Scheduler::tell_apart(Board& board, Time now) {
-  if (board.rows.empty()) return;
+void Scheduler::prioritize_in_shortage(PlacementProblem& problem, Time now) {
+  if (problem.jobs.empty()) return;
   Rooms rooms;
   for (const auto& [id, m] : machines_) {
     const auto* type = type_of(m.type);
-    if (type != nullptr && usable(m, now)) rooms.add(*type, m);
+    if (type != nullptr && accepts_new_tasks(m, now)) rooms.add(*type, m);
   }
   std::vector<load::Pool> pools;
-  std::vector<load::Claim> claims;
-  std::vector<Row*> rows;
+  std::vector<load::WorkRequest> requests;
+  std::vector<PendingJob*> rows;
   std::map<std::string, std::size_t> team_pools;
-  std::map<std::string, std::size_t> lanes;
-  Ledger limits = used_;
-  for (const auto rank : {Rank::production, Rank::high, Rank::normal, Rank::best_effort}) {
+  std::map<std::string, std::size_t> classes;
+  QuotaUsage limits = quota_usage_;
+  for (const auto priority : {Priority::production, Priority::high, Priority::normal, Priority::best_effort}) {
     std::map<std::vector<char>, std::size_t> kind_pools;
     const auto add_pool = [&](const std::vector<char>& allowed) {
       const auto [it, fresh] = kind_pools.try_emplace(allowed, pools.size());
-      if (fresh) pools.push_back(rooms.pool(allowed, rank));
+      if (fresh) pools.push_back(rooms.pool(allowed, priority));
       return it->second;
     };
     const std::vector<char> all(rooms.kinds(), 1);
     std::vector<std::pair<std::vector<char>, Resources>> wanted;
-    for (auto& row : board.rows) {
-      const auto& job = *row.job;
-      if (job.rank != rank || job.suspect) continue;
-      load::Claim claim;
+    for (auto& pending : problem.jobs) {
+      const auto& job = *pending.job;
+      if (job.priority != priority || job.suspect) continue;
+      load::WorkRequest request;
       const auto allowed = rooms.allowed_for(job.spec);
-      claim.lane = lanes.try_emplace(job.spec.lane, lanes.size()).first->second;
-      claim.pools.push_back(add_pool(all));
-      if (allowed != all) claim.pools.push_back(add_pool(allowed));
+      request.job_class = classes.try_emplace(job.spec.job_class, classes.size()).first->second;
+      request.pools.push_back(add_pool(all));
+      if (allowed != all) request.pools.push_back(add_pool(allowed));
       if (const auto team = teams_.find(job.spec.team); team != teams_.end()) {
         const auto [it, fresh] = team_pools.try_emplace(team->first, pools.size());
-        if (fresh) pools.push_back(pool_of(team->second, used_.used(team->first)));
-        claim.pools.push_back(it->second);
+        if (fresh) pools.push_back(pool_of(team->second, quota_usage_.used(team->first)));
+        request.pools.push_back(it->second);
       }
-      claim.need = amount(job.spec.need.times(row.count));
-      claim.run_s = row.estimate_s;
-      claim.latest_start_s = latest_starts(row, now);
+      request.need = amount(job.spec.need.times(pending.count));
+      request.run_s = pending.estimate_s;
+      request.latest_start_s = latest_starts(pending, now);
       // No more than its team's limit lets it start: arrays of thousands of tasks in teams of hundreds of CPUs would
       // else leave the lower ranks nothing, and what these can do in time would be given up.
-      const auto can_start = std::min(row.count, limits.room_for(job.spec.team, job.spec.need));
+      const auto can_start = std::min(pending.count, limits.room_for(job.spec.team, job.spec.need));
       limits.add(job.spec.team, job.spec.need, can_start);
       wanted.emplace_back(allowed, job.spec.need.times(can_start));
-      claims.push_back(std::move(claim));
-      rows.push_back(&row);
+      requests.push_back(std::move(request));
+      rows.push_back(&pending);
     }
-    rooms.take_used(rank);
+    rooms.take_used(priority);
     for (const auto& [allowed, need] : wanted) rooms.take_wanted(allowed, need);
   }
-  const auto verdicts = load::triage(pools, claims, setup_.policy.shortage_efficiency);
+  const auto results = load::plan_admission(pools, requests, options_.policy.shortage_efficiency);
   // What a job is worth against its work: of its times, those that it can still meet. A job of which a few tasks are
   // left goes before one that has hardly begun, even where it is a little late already.
-  std::vector<std::pair<double, Row*>> by_worth;
+  std::vector<std::pair<double, PendingJob*>> by_worth;
   for (std::size_t i = 0; i < rows.size(); ++i) {
-    const auto& times = claims[i].latest_start_s;
-    const auto& v = verdicts[i];
-    const auto met = static_cast<double>(times.size() - v.tier);
+    const auto& times = requests[i].latest_start_s;
+    const auto& v = results[i];
+    const auto met = static_cast<double>(times.size() - v.first_met_target);
     // Where only a team's limit is short, its arrays without a deadline have times to meet as well, and none of them
     // can take a machine that others of higher rank then take back.
-    const bool by_aims = !v.machines_short && rows[i]->job->spec.shape == Shape::array && !times.empty();
-    if (v.in_short_pool && met > 0 && (rows[i]->job->due || by_aims))
+    const bool by_aims = !v.machines_short && rows[i]->job->spec.kind == JobKind::array && !times.empty();
+    if (v.in_short_pool && met > 0 && (rows[i]->job->effective_deadline || by_aims))
       by_worth.emplace_back(-met / std::max(v.work_s, 1e-9), rows[i]);
-    if (v.tier == 0 || (met > 0 && rows[i]->job->due)) continue;
-    const double waited_s = to_seconds(now - rows[i]->job->released);
-    if (waited_s < deferred_for * (waited_s + times.back())) rows[i]->deferred = static_cast<double>(v.tier);
+    if (v.first_met_target == 0 || (met > 0 && rows[i]->job->effective_deadline)) continue;
+    const double waited_s = to_seconds(now - rows[i]->job->ready_at);
+    if (waited_s < deferred_for * (waited_s + times.back()))
+      rows[i]->expected_misses = static_cast<double>(v.first_met_target);
   }
-  std::ranges::stable_sort(by_worth, {}, &std::pair<double, Row*>::first);
+  std::ranges::stable_sort(by_worth, {}, &std::pair<double, PendingJob*>::first);
   const auto n = static_cast<double>(by_worth.size());
-  for (std::size_t i = 0; i < by_worth.size(); ++i) by_worth[i].second->pressing = 1 - static_cast<double>(i) / n;
+  for (std::size_t i = 0; i < by_worth.size(); ++i) by_worth[i].second->shortage_order = 1 - static_cast<double>(i) / n;
 }
 
 }  // namespace martenwall
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -21,13 +21,13 @@
   Rep value_{};
 };
 
-using Token = Strong<struct TokenTag, std::uint64_t>;
-using Stamp = Strong<struct StampTag, std::uint64_t>;
+using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
+using KeyVersion = Strong<struct KeyVersionTag, std::uint64_t>;
 using Revision = Strong<struct RevisionTag, std::uint64_t>;
 using LeaseId = Strong<struct LeaseTag, std::uint64_t>;
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;
-using Session = Strong<struct SessionTag, std::uint64_t>;
-using Tick = Strong<struct TickTag, std::uint64_t>;
+using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
+using HeartbeatSequence = Strong<struct HeartbeatSequenceTag, std::uint64_t>;
 using Generation = Strong<struct GenerationTag, std::uint64_t>;
 using JobId = Strong<struct JobTag, std::string>;
 using MachineId = Strong<struct MachineTag, std::string>;
--- a/src/load/triage.hpp
+++ b/src/load/overload_admission.hpp
@@ -23,18 +23,18 @@
 };
 
 // What is pending of one job.
-struct Claim {
-  std::size_t lane = 0;                // its class, a small number
+struct WorkRequest {
+  std::size_t job_class = 0;           // its class, a small number
   std::vector<std::size_t> pools;      // on which it draws, each once
   Amount need{};                       // all its pending tasks at once
   double run_s = 0;                    // of each of them
   std::vector<double> latest_start_s;  // from now, one for each time that it should meet, tightest first; may be past
 };
 
-struct Verdict {
+struct AdmissionResult {
   // The first of its times that it is expected to meet, from 0; the number of its times where it meets none. Always 0
   // where nothing that it draws on is short, and for claims that have no times to meet.
-  std::size_t tier = 0;
+  std::size_t first_met_target = 0;
   bool in_short_pool = false;
   bool machines_short = false;  // one of these is not a team's limit
   double work_s = 0;            // its largest part of any pool's room, times its run time
@@ -42,6 +42,7 @@
 
 // One verdict a claim, in their order. `efficiency`: the part of freed room that becomes running work, 0 to 1; the rest
 // goes to fetches, losses and stops. Costs n log n for n claims and a few pools.
-std::vector<Verdict> triage(const std::vector<Pool>& pools, const std::vector<Claim>& claims, double efficiency);
+std::vector<AdmissionResult> plan_admission(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests,
+                                            double efficiency);
 
 }  // namespace martenwall::load
--- a/src/load/service_record.cpp
+++ b/src/load/service_record.cpp
@@ -6,23 +6,23 @@
 
 namespace martenwall::load {
 
-Served& ServiceRecord::at(const std::string& lane, const std::string& team) {
-  Pair key{lane, team};
+Served& ServiceRecord::at(const std::string& job_class, const std::string& team) {
+  Pair key{job_class, team};
   if (!pairs_.contains(key) && pairs_.size() >= most_pairs) key = {"other", "other"};
   auto& s = pairs_[key];
-  s.lane = key.first;
+  s.job_class = key.first;
   s.team = key.second;
   return s;
 }
 
-void ServiceRecord::started(const std::string& lane, const std::string& team, double wait_s) {
-  auto& s = at(lane, team);
+void ServiceRecord::started(const std::string& job_class, const std::string& team, double wait_s) {
+  auto& s = at(job_class, team);
   ++s.started;
   s.wait_s += wait_s;
 }
 
-void ServiceRecord::done(const std::string& lane, const std::string& team, bool in_time) {
-  auto& s = at(lane, team);
+void ServiceRecord::done(const std::string& job_class, const std::string& team, bool in_time) {
+  auto& s = at(job_class, team);
   ++s.done;
   if (in_time) ++s.in_time;
 }
@@ -54,7 +54,7 @@
   for (std::size_t i = 0; i < minute.size() && i < most; ++i) {
     const auto& s = minute[i];
     const double wait_s = s.started == 0 ? 0 : s.wait_s / static_cast<double>(s.started);
-    out << (i > 0 ? "; " : "") << s.lane << "/" << s.team << " " << s.submitted << " taken, " << s.started
+    out << (i > 0 ? "; " : "") << s.job_class << "/" << s.team << " " << s.submitted << " taken, " << s.started
         << " started after " << std::setprecision(0) << wait_s << " s, " << s.done << " done, " << std::setprecision(2)
         << s.share() << " in time";
   }
--- a/src/load/service_record.hpp
+++ b/src/load/service_record.hpp
@@ -11,7 +11,7 @@
 namespace martenwall::load {
 
 struct Served {
-  std::string lane, team;
+  std::string job_class, team;
   std::uint64_t submitted = 0;  // taken by this leader, loaded ones included
   std::uint64_t started = 0;    // all of its tasks were placed
   std::uint64_t done = 0;
@@ -32,12 +32,12 @@
   // and metrics and memory must not grow with them.
   static constexpr std::size_t most_pairs = 60;
 
-  void submitted(const std::string& lane, const std::string& team) { ++at(lane, team).submitted; }
-  void started(const std::string& lane, const std::string& team, double wait_s);
-  void done(const std::string& lane, const std::string& team, bool in_time);
-  void cancelled(const std::string& lane, const std::string& team) { ++at(lane, team).cancelled; }
+  void submitted(const std::string& job_class, const std::string& team) { ++at(job_class, team).submitted; }
+  void started(const std::string& job_class, const std::string& team, double wait_s);
+  void done(const std::string& job_class, const std::string& team, bool in_time);
+  void cancelled(const std::string& job_class, const std::string& team) { ++at(job_class, team).cancelled; }
   // Its last time passed before it was done: told once, and `done` after that counts no second time.
-  void missed(const std::string& lane, const std::string& team) { ++at(lane, team).late; }
+  void missed(const std::string& job_class, const std::string& team) { ++at(job_class, team).late; }
 
   [[nodiscard]] std::vector<Served> all() const;  // by class, then team
   // "squat-scan/mirror-ops 62 taken, 50 started after 12 s, 41 done, 0.83 in time; ...", those least served first, at
@@ -46,7 +46,7 @@
 
  private:
   using Pair = std::pair<std::string, std::string>;
-  Served& at(const std::string& lane, const std::string& team);
+  Served& at(const std::string& job_class, const std::string& team);
   std::map<Pair, Served> pairs_, told_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "core/heuristic_table.hpp"
+#include "core/placement/heuristic_table.hpp"
 #include "service/configuration_command.hpp"
 #include "service/node.hpp"
 
@@ -63,7 +63,7 @@
 int main(int argc, char** argv) {
   CLI::App app{"martenwall: a cluster scheduler (controller node)"};
   app.set_version_flag("--version", std::string{"martenwall "} + MARTENWALL_VERSION + ", level " +
-                                        std::to_string(martenwall::wire::this_level));
+                                        std::to_string(martenwall::wire::current_format_version));
   std::string config_path;
   std::string properties_path;
   bool check_only = false;
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -18,7 +18,7 @@
   return {0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5};
 }
 
-constexpr std::array<const char*, report_ways> way_names{"here", "relayed", "by_others", "sent_on", "refused"};
+constexpr std::array<const char*, heartbeat_paths> way_names{"here", "relayed", "by_others", "sent_on", "refused"};
 constexpr std::array<const char*, 3> urgency_names{"awaited", "borrowed", "spare"};
 
 prometheus::Histogram& histogram(prometheus::Registry& r, const char* name, const char* help) {
@@ -47,10 +47,11 @@
 
 Metrics::Metrics()
     : registry_(std::make_shared<prometheus::Registry>()),
-      rounds(histogram(*registry_, "martenwall_round_seconds", "Time of a scheduling round.")),
+      cycles(histogram(*registry_, "martenwall_round_seconds", "Time of a scheduling round.")),
       store_writes(histogram(*registry_, "martenwall_store_write_seconds",
                              "From a transaction's turn to its answer, tries that failed included.")),
-      reports(histogram(*registry_, "martenwall_report_seconds", "From a worker's report to its answer at this node.")),
+      heartbeats(
+          histogram(*registry_, "martenwall_report_seconds", "From a worker's report to its answer at this node.")),
       takeovers_(prometheus::BuildCounter()
                      .Name("martenwall_takeovers_total")
                      .Help("Times that this node began to lead.")
@@ -81,7 +82,7 @@
                      .Name("martenwall_reports_total")
                      .Help("Workers' reports: answered here, passed on, taken from other nodes, sent on, refused.")
                      .Register(*registry_);
-  for (std::size_t i = 0; i < report_ways; ++i) reports_by_way_.at(i) = &family.Add({{"way", way_names.at(i)}});
+  for (std::size_t i = 0; i < heartbeat_paths; ++i) reports_by_way_.at(i) = &family.Add({{"way", way_names.at(i)}});
   for (std::size_t i = 0; i < urgency_names.size(); ++i) {
     const prometheus::Labels labels{{"urgency", urgency_names.at(i)}};
     queue_rows_.at(i) = &gauge("martenwall_store_queue_rows", "Rows whose time to be written has come.", labels);
@@ -89,12 +90,12 @@
   }
 }
 
-void Metrics::count_report(ReportWay way, std::size_t n) {
+void Metrics::count_heartbeat(HeartbeatPath way, std::size_t n) {
   reports_by_way_.at(static_cast<std::size_t>(way))->Increment(static_cast<double>(n));
   reports_this_minute_.at(static_cast<std::size_t>(way)) += n;
 }
 
-void Metrics::set(const Levels& l) {
+void Metrics::set(const Gauges& l) {
   leads_.Set(l.leads ? 1 : 0);
   connections_.Set(static_cast<double>(l.connections));
   worker_connections_.Set(static_cast<double>(l.worker_connections));
@@ -113,7 +114,7 @@
 void Metrics::set(const std::vector<load::Served>& served) {
   for (const auto& s : served) {
     const auto set = [&](prometheus::Family<prometheus::Gauge>& family, prometheus::Labels labels, double value) {
-      labels.insert({{"class", s.lane}, {"team", s.team}});
+      labels.insert({{"class", s.job_class}, {"team", s.team}});
       family.Add(labels).Set(value);
     };
     set(served_jobs_, {{"event", "taken"}}, static_cast<double>(s.submitted));
@@ -127,18 +128,18 @@
 
 std::string Metrics::exposition() const { return prometheus::TextSerializer{}.Serialize(registry_->Collect()); }
 
-std::string Metrics::minute_line(const Levels& l) {
+std::string Metrics::minute_line(const Gauges& l) {
   std::ostringstream out;
   out << std::fixed << std::setprecision(1);
   const auto tell = [&](const char* what, const Timing::Minute& m) {
     out << what << " " << m.count << " of " << m.mean_ms << " ms, longest " << m.longest_ms << "; ";
   };
   out << (l.leads ? "leads; " : "");
-  tell("rounds", rounds.take_minute());
+  tell("rounds", cycles.take_minute());
   tell("store writes", store_writes.take_minute());
-  tell("reports", reports.take_minute());
+  tell("reports", heartbeats.take_minute());
   out << "of them";
-  for (std::size_t i = 0; i < report_ways; ++i) {
+  for (std::size_t i = 0; i < heartbeat_paths; ++i) {
     out << " " << std::exchange(reports_this_minute_.at(i), 0) << " " << way_names.at(i);
   }
   out << "; queues";
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -32,11 +32,11 @@
   Duration sum_{0}, longest_{0};
 };
 
-enum class ReportWay { here, relayed, by_others, sent_on, refused };
-constexpr std::size_t report_ways = 5;
+enum class HeartbeatPath { local, relayed, from_peers, redirected, refused };
+constexpr std::size_t heartbeat_paths = 5;
 
 // What stands now; the owner fills it in before it is told.
-struct Levels {
+struct Gauges {
   bool leads = false;
   std::size_t connections = 0, worker_connections = 0, worker_room = 0;
   std::size_t machines = 0, jobs = 0;
@@ -54,21 +54,21 @@
 
  public:
   Metrics();
-  Timing rounds, store_writes, reports;
-  void count_report(ReportWay way, std::size_t n = 1);
+  Timing cycles, store_writes, heartbeats;
+  void count_heartbeat(HeartbeatPath way, std::size_t n = 1);
   void count_takeover() { takeovers_.Increment(); }
-  void set(const Levels& levels);
+  void set(const Gauges& gauges);
   // Who is served, by class and team, as the leader counts it since it took over.
   void set(const std::vector<load::Served>& served);
   // The text that Prometheus scrapes (exposition format 0.0.4).
   [[nodiscard]] std::string exposition() const;
   // "rounds 42, 3.1 ms, longest 8.2 ms; ...": what happened since the line before.
-  std::string minute_line(const Levels& levels);
+  std::string minute_line(const Gauges& gauges);
 
  private:
   prometheus::Gauge& gauge(const char* name, const char* help, const prometheus::Labels& labels = {});
-  std::array<prometheus::Counter*, report_ways> reports_by_way_{};
-  std::array<std::size_t, report_ways> reports_this_minute_{};
+  std::array<prometheus::Counter*, heartbeat_paths> reports_by_way_{};
+  std::array<std::size_t, heartbeat_paths> reports_this_minute_{};
   prometheus::Counter& takeovers_;
   prometheus::Family<prometheus::Gauge>&served_jobs_, &served_share_, &served_wait_;
   prometheus::Gauge &leads_, &connections_, &worker_connections_, &worker_room_, &machines_, &jobs_, &memory_, &used_,
--- a/src/relay/leader_link.cpp
+++ b/src/relay/leader_link.cpp
@@ -19,13 +19,13 @@
 
 void LeaderLink::enter(LinkState next, Time now) {
   if (next == state_) return;
-  const bool was_failing = state_ == LinkState::doubted || state_ == LinkState::redirecting;
-  const bool fails = next == LinkState::doubted || next == LinkState::redirecting;
+  const bool was_failing = state_ == LinkState::suspected || state_ == LinkState::redirecting;
+  const bool fails = next == LinkState::suspected || next == LinkState::redirecting;
   if (fails && !was_failing && state_ != LinkState::probing) failing_since_ = now;
   state_ = next;
 }
 
-void LeaderLink::leader_is(const std::string& node, Time now) {
+void LeaderLink::set_leader(const std::string& node, Time now) {
   if (node == leader_) return;
   leader_ = node;
   failing_since_ = now;
@@ -34,43 +34,43 @@
 }
 
 void LeaderLink::failed(Time now) {
-  if (state_ == LinkState::open) enter(LinkState::doubted, now);
+  if (state_ == LinkState::open) enter(LinkState::suspected, now);
   if (state_ == LinkState::none || state_ == LinkState::redirecting) return;
   if (now - failing_since_ >= patience_) enter(LinkState::redirecting, now);
 }
 
-void LeaderLink::probed(ProbeAnswer answer, Time now) {
+void LeaderLink::on_probe_result(ProbeResult answer, Time now) {
   if (state_ == LinkState::none) return;
   switch (answer) {
-    case ProbeAnswer::leads:
+    case ProbeResult::leader:
       enter(LinkState::open, now);
       return;
-    case ProbeAnswer::old:
+    case ProbeResult::unsupported:
       enter(LinkState::redirecting, now);
       return;
-    case ProbeAnswer::follows:  // what this node knows of the leader is outdated
-    case ProbeAnswer::nothing:
+    case ProbeResult::follower:  // what this node knows of the leader is outdated
+    case ProbeResult::none:
       failed(now);
       return;
   }
 }
 
-void LeaderLink::passed(bool answered, Time now) {
+void LeaderLink::on_batch_result(bool answered, Time now) {
   if (!answered) failed(now);
 }
 
-Advice LeaderLink::advice() const {
+RoutingAdvice LeaderLink::advice() const {
   switch (state_) {
     case LinkState::open:
-      return Advice::pass_on;
+      return RoutingAdvice::forward;
     case LinkState::redirecting:
-      return Advice::redirect;
+      return RoutingAdvice::redirect;
     case LinkState::none:
     case LinkState::probing:
-    case LinkState::doubted:
-      return Advice::hold;
+    case LinkState::suspected:
+      return RoutingAdvice::hold;
   }
-  return Advice::hold;
+  return RoutingAdvice::hold;
 }
 
 bool LeaderLink::probe_due(Time now) const {
--- a/src/relay/leader_link.hpp
+++ b/src/relay/leader_link.hpp
@@ -11,15 +11,15 @@
   none,         // no other node leads, as far as known
   probing,      // a leader is known; whether it takes reports over this link is not
   open,         // reports are passed on
-  doubted,      // it did not answer lately: most likely another will lead in a moment
+  suspected,    // it did not answer lately: most likely another will lead in a moment
   redirecting,  // the link is down for longer, or the leader's version takes none: workers go there themselves
 };
 std::string_view name_of(LinkState s);
 
-enum class Advice { pass_on, hold, redirect };
+enum class RoutingAdvice { forward, hold, redirect };
 
 // What the other side of a link said to a probe. `old`: a version that does not pass reports on.
-enum class ProbeAnswer { nothing, old, follows, leads };
+enum class ProbeResult { none, unsupported, follower, leader };
 
 class LeaderLink {
  public:
@@ -27,11 +27,11 @@
   // fails although its leader lives.
   explicit LeaderLink(Duration lease);
   // Named anew by the state service; empty: none, or this node itself.
-  void leader_is(const std::string& node, Time now);
-  void probed(ProbeAnswer answer, Time now);
+  void set_leader(const std::string& node, Time now);
+  void on_probe_result(ProbeResult answer, Time now);
   // A batch of reports was answered by a node that leads, or not.
-  void passed(bool answered, Time now);
-  [[nodiscard]] Advice advice() const;
+  void on_batch_result(bool answered, Time now);
+  [[nodiscard]] RoutingAdvice advice() const;
   [[nodiscard]] LinkState state() const { return state_; }
   [[nodiscard]] const std::string& leader() const { return leader_; }
   // When the link is to be probed next; open ones are not, since reports tell as much.
--- a/src/relay/worker_share.cpp
+++ b/src/relay/worker_balancer.cpp
@@ -1,4 +1,4 @@
-#include "relay/worker_share.hpp"
+#include "relay/worker_balancer.hpp"
 
 #include <algorithm>
 
@@ -15,10 +15,10 @@
 constexpr Duration avoided = seconds(30);
 }  // namespace
 
-WorkerShare::WorkerShare(std::string node, double leader_weight)
+WorkerBalancer::WorkerBalancer(std::string node, double leader_weight)
     : node_(std::move(node)), leader_weight_(leader_weight) {}
 
-void WorkerShare::heard(const std::string& node, NodeLoad load, Time now) {
+void WorkerBalancer::on_node_load(const std::string& node, NodeLoad load, Time now) {
   if (node == node_) return;
   auto& other = others_[node];
   other.load = load;
@@ -26,14 +26,14 @@
   other.sent_on = 0;
 }
 
-double WorkerShare::weight(const std::string& node) const { return node == leader_ ? leader_weight_ : 1.0; }
+double WorkerBalancer::weight(const std::string& node) const { return node == leader_ ? leader_weight_ : 1.0; }
 
-double WorkerShare::target(const std::string& node, NodeLoad load, double total, double weights) const {
+double WorkerBalancer::target(const std::string& node, NodeLoad load, double total, double weights) const {
   const double fair = weights > 0 ? total * weight(node) / weights : total;
   return std::min(fair, static_cast<double>(load.room));
 }
 
-bool WorkerShare::may_move(Time now, double most_a_second) {
+bool WorkerBalancer::may_move(Time now, double most_a_second) {
   const double gained = paced_at_ == Time{} ? 1 : to_seconds(now - paced_at_) * most_a_second;
   paced_ = std::min(paced_ + gained, std::max(1.0, most_a_second));
   paced_at_ = now;
@@ -42,7 +42,7 @@
   return true;
 }
 
-void WorkerShare::note_return(const MachineId& worker, Time now) {
+void WorkerBalancer::note_return(const MachineId& worker, Time now) {
   if (now - forgotten_at_ > came_back) {
     std::erase_if(sent_, [&](const auto& s) { return now - s.second.at > came_back; });
     forgotten_at_ = now;
@@ -55,8 +55,9 @@
 }
 
 // The one that has most room below its own fair part; when this node is full, below its room.
-WorkerShare::Other* WorkerShare::best_for(bool full, double total, double weights, Time now, std::string& name) {
-  Other* best = nullptr;
+WorkerBalancer::OtherNode* WorkerBalancer::best_for(bool full, double total, double weights, Time now,
+                                                    std::string& name) {
+  OtherNode* best = nullptr;
   double best_room = 0;
   for (auto& [node, other] : others_) {
     if (now - other.at > load_valid || now < other.avoid_until) continue;
@@ -70,7 +71,7 @@
   return best;
 }
 
-Placing WorkerShare::place(const MachineId& worker, NodeLoad own, Time now) {
+Assignment WorkerBalancer::place(const MachineId& worker, NodeLoad own, Time now) {
   note_return(worker, now);
   auto total = static_cast<double>(own.workers);
   double weights = weight(node_);
@@ -84,15 +85,15 @@
   const bool much = held > target(node_, own, total, weights) * tolerated + tolerated_more;
   if (!full && !much) return {};
   std::string name;
-  Other* best = best_for(full, total, weights, now, name);
+  OtherNode* best = best_for(full, total, weights, now, name);
   const bool moves = best != nullptr && (full || may_move(now, std::max(least_a_second, held * part_a_second)));
-  if (!moves) return {full ? Placing::Kind::keep_and_close : Placing::Kind::keep, {}};
+  if (!moves) return {full ? Assignment::Kind::keep_and_close : Assignment::Kind::keep, {}};
   ++best->sent_on;
   sent_[worker] = {name, now};
-  return {Placing::Kind::move, std::move(name)};
+  return {Assignment::Kind::move, std::move(name)};
 }
 
-std::map<std::string, NodeLoad> WorkerShare::known(NodeLoad own, Time now) const {
+std::map<std::string, NodeLoad> WorkerBalancer::known(NodeLoad own, Time now) const {
   std::map<std::string, NodeLoad> out{{node_, own}};
   for (const auto& [name, other] : others_) {
     if (now - other.at <= load_valid) out.emplace(name, other.load);
--- a/src/relay/worker_share.hpp
+++ b/src/relay/worker_balancer.hpp
@@ -14,7 +14,7 @@
   std::size_t room = 0;     // as many as it would hold
 };
 
-struct Placing {
+struct Assignment {
   enum class Kind {
     keep,            // it stays here
     move,            // to node `to`
@@ -24,20 +24,20 @@
   std::string to{};
 };
 
-class WorkerShare {
+class WorkerBalancer {
  public:
   // `leader_weight`: part of an ordinary node's share that a leader takes, which has more to do.
-  WorkerShare(std::string node, double leader_weight);
-  void heard(const std::string& node, NodeLoad load, Time now);
-  void leader_is(const std::string& node) { leader_ = node; }
+  WorkerBalancer(std::string node, double leader_weight);
+  void on_node_load(const std::string& node, NodeLoad load, Time now);
+  void set_leader(const std::string& node) { leader_ = node; }
   // Of a worker that reports here; `own` counts its connection too. Remembers whom it sends on: one that comes back
   // soon did not get through, so that its node is left alone for a while.
-  Placing place(const MachineId& worker, NodeLoad own, Time now);
+  Assignment place(const MachineId& worker, NodeLoad own, Time now);
   // Nodes heard lately, for those that hear of them through this one.
   [[nodiscard]] std::map<std::string, NodeLoad> known(NodeLoad own, Time now) const;
 
  private:
-  struct Other {
+  struct OtherNode {
     NodeLoad load;
     Time at{};
     std::size_t sent_on = 0;  // since it spoke of itself
@@ -48,7 +48,7 @@
     Time at{};
   };
   void note_return(const MachineId& worker, Time now);
-  Other* best_for(bool full, double total, double weights, Time now, std::string& name);
+  OtherNode* best_for(bool full, double total, double weights, Time now, std::string& name);
   [[nodiscard]] double weight(const std::string& node) const;
   // A worker more or less of this node's fair part, which must not overflow it.
   [[nodiscard]] double target(const std::string& node, NodeLoad load, double total, double weights) const;
@@ -56,7 +56,7 @@
 
   std::string node_, leader_;
   double leader_weight_;
-  std::map<std::string, Other> others_;
+  std::map<std::string, OtherNode> others_;
   std::unordered_map<MachineId, Sent> sent_;
   Time forgotten_at_{};
   Time paced_at_{};
--- a/src/service/cloud_service.cpp
+++ b/src/service/cloud_service.cpp
@@ -14,9 +14,9 @@
 constexpr std::uint64_t for_all = 0;  // in place of a term: what any node may ask
 }  // namespace
 
-CloudService::CloudService(Context& ctx, StateClient& state)
+CloudService::CloudService(Context& ctx, StoreClient& state)
     : ctx_(ctx),
-      state_(state),
+      store_(state),
       http_(ctx.loop, 8, 4 * 1024 * 1024, 4),
       rate_(ctx.settings.cloud_rps * follower_share) {}
 
@@ -35,7 +35,7 @@
   co_await admit();
   // What changes the fleet is the leader's alone, and may have waited here for its turn: also for so long that this
   // node lost its leadership and has another by now, which knows nothing of it.
-  const auto may_send = [&] { return term == for_all || (ctx_.leads(term) && ctx_.proven()); };
+  const auto may_send = [&] { return term == for_all || (ctx_.leads(term) && ctx_.has_valid_lease()); };
   if (!may_send()) co_return rt::HttpResult{};
   if (ctx_.now() < by_others_until_) {
     rt::HttpResult passed = co_await pass_on(method, target, body);
@@ -66,7 +66,7 @@
   co_return out;
 }
 
-rt::Task<wire::PeerReply> CloudService::on_peer(wire::PeerRequest request) {
+rt::Task<wire::PeerReply> CloudService::on_peer_request(wire::PeerRequest request) {
   passed_on_at_ = ctx_.now();
   const auto space = request.job.find(' ');
   if (space == std::string::npos) co_return wire::PeerReply{400, "{}", {}};
@@ -84,7 +84,7 @@
   auto types = r.ok() ? wire::parse_types(r.body) : std::nullopt;
   if (!types && ctx_.types.empty()) {
     // The cloud may be out just when this node starts: another node has kept what it said.
-    const ReadResult kept = co_await state_.get(wire::types_key, seconds(1));
+    const ReadResult kept = co_await store_.get(wire::types_key, seconds(1));
     if (kept.outcome == ReadOutcome::found) types = wire::parse_types(kept.item.value.dump());
   }
   if (!types) co_return false;
@@ -104,16 +104,16 @@
   }
   std::vector<wire::StoreOp> then;
   then.push_back({wire::types_key, std::move(row), std::nullopt});
-  std::vector<wire::Condition> when{{wire::leader_key, Stamp{ctx_.leadership.token().value()}}};
-  const TxnResult r = co_await state_.txn(std::move(when), std::move(then), seconds(1));
+  std::vector<wire::Condition> when{{wire::leader_key, KeyVersion{ctx_.leadership.token().value()}}};
+  const TxnResult r = co_await store_.txn(std::move(when), std::move(then), seconds(1));
   types_stored_ = r.outcome == TxnOutcome::committed;
 }
 
 rt::Task<void> CloudService::run_types() {
   for (;;) {
     const bool fresh = co_await fetch_types();
-    if (fresh) ctx_.wake.notify();
-    if (fresh && ctx_.proven() && !types_stored_) co_await store_types();
+    if (fresh) ctx_.cycle_due.notify();
+    if (fresh && ctx_.has_valid_lease() && !types_stored_) co_await store_types();
     const bool leads = ctx_.scheduler != nullptr;
     co_await ctx_.loop.sleep(fresh && (leads || types_stored_) ? types_every : fresh ? seconds(10) : seconds(2));
   }
@@ -134,13 +134,13 @@
     for (auto& m : page->machines) all.push_back(std::move(m));
     if (!more) break;
   }
-  ctx_.scheduler->on_list(all, asked, ctx_.settings.cloud_lag, ctx_.now());
-  ctx_.kick();
+  ctx_.scheduler->on_machine_list(all, asked, ctx_.settings.cloud_lag, ctx_.now());
+  ctx_.notify_pending_work();
 }
 
 rt::Task<void> CloudService::run_list() {
   for (;;) {
-    if (ctx_.proven()) co_await list_once(ctx_.term);
+    if (ctx_.has_valid_lease()) co_await list_once(ctx_.term);
     const Time until = ctx_.now() + list_every;
     while (ctx_.now() < until) {
       co_await ctx_.leader_changed.wait(until);
@@ -154,49 +154,49 @@
 rt::Task<void> CloudService::run_fleet() {
   for (;;) {
     const Time until = ctx_.now() + seconds(0.25);
-    co_await ctx_.flushed.wait(until);
-    if (!ctx_.proven()) continue;
+    co_await ctx_.write_committed.wait(until);
+    if (!ctx_.has_valid_lease()) continue;
     const auto term = ctx_.term;
     // Several kinds and zones at once: one that the cloud is slow to answer must not hold up the others.
-    for (auto& request : ctx_.scheduler->take_hires()) rt::spawn(hire(term, std::move(request)));
+    for (auto& request : ctx_.scheduler->take_scale_out_requests()) rt::spawn(hire(term, std::move(request)));
     if (releasing_) continue;
-    auto ids = ctx_.scheduler->take_releases(ctx_.now());
+    auto ids = ctx_.scheduler->take_scale_in(ctx_.now());
     if (!ids.empty()) rt::spawn(release(term, std::move(ids)));
   }
 }
 
 // The same name is sent until the answer is known: a repeat rents nothing again.
-rt::Task<void> CloudService::hire(std::uint64_t term, HireRequest request) {
-  const std::string body = wire::encode_hire(request);
+rt::Task<void> CloudService::hire(std::uint64_t term, ScaleOutRequest request) {
+  const std::string body = wire::encode_scale_out(request);
   for (int i = 0; i < 6; ++i) {
     std::string copy = body;
     const rt::HttpResult r = co_await call("POST", "/machines", std::move(copy), seconds(4), term);
     if (!ctx_.leads(term)) co_return;
     if (r.ok()) {
-      const auto ids = wire::parse_hired(r.body).value_or(std::vector<MachineId>{});
+      const auto ids = wire::parse_scale_out_response(r.body).value_or(std::vector<MachineId>{});
       ctx_.log->info("{}: got {} of {}", request.name, ids.size(), request.count);
-      ctx_.scheduler->on_hired(request, ids, ctx_.now());
+      ctx_.scheduler->on_scale_out_granted(request, ids, ctx_.now());
       co_return;
     }
     const bool no_capacity = r.status == 503 && r.body.find("no capacity") != std::string::npos;
     if (no_capacity || r.status == 400) {
       ctx_.log->info("{}: refused: {}", request.name, r.body);
-      ctx_.scheduler->on_refused(request, ctx_.now());
+      ctx_.scheduler->on_scale_out_refused(request, ctx_.now());
       co_return;
     }
     co_await ctx_.loop.sleep(seconds(1));
     if (!ctx_.leads(term)) co_return;
   }
   // Given up: should it have been executed after all, its machines appear in the list.
-  ctx_.scheduler->on_given_up(request);
+  ctx_.scheduler->on_scale_out_abandoned(request);
 }
 
 rt::Task<void> CloudService::release(std::uint64_t term, std::vector<MachineId> ids) {
   releasing_ = true;
   const rt::HttpResult r = co_await call("POST", "/machines/release", wire::encode_release(ids), seconds(4), term);
   if (ctx_.leads(term) && r.ok()) {
-    ctx_.scheduler->on_released(ids, ctx_.now());
-    ctx_.kick();
+    ctx_.scheduler->on_machines_released(ids, ctx_.now());
+    ctx_.notify_pending_work();
   } else if (!r.ok()) {
     co_await ctx_.loop.sleep(seconds(1));
   }
--- a/src/service/configuration_changes.cpp
+++ b/src/service/configuration_changes.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-rt::Task<wire::PeerReply> ConfigurationChanges::on_peer(wire::PeerRequest request) {
+rt::Task<wire::PeerReply> ConfigurationChanges::on_peer_request(wire::PeerRequest request) {
   auto asked = wire::decode_configuration_request(request.body);
   if (!asked) co_return failure(400, "not a request about the configuration");
   using Ask = wire::ConfigurationRequest::Ask;
@@ -87,12 +87,12 @@
 
 rt::Task<ConfigurationChanges::Stored> ConfigurationChanges::read() {
   Stored out;
-  const ReadResult r = co_await state_.get(wire::configuration_key, store_limit);
+  const ReadResult r = co_await store_.get(wire::configuration_key, store_limit);
   out.known = r.outcome == ReadOutcome::absent;
   if (r.outcome != ReadOutcome::found) co_return out;
   auto row = wire::decode_configuration(r.item.value);
   out.known = row.has_value();
-  out.stamp = r.item.version;
+  out.key_version = r.item.version;
   if (row) out.row = std::move(*row);
   co_return out;
 }
@@ -149,12 +149,12 @@
 // on; the conditions fail where one of them was replaced by a new process, or began to lead, since it was asked.
 rt::Task<ConfigurationChanges::Fence> ConfigurationChanges::fence_first_change() {
   Fence out;
-  if (ctx_.level < wire::this_level) {
+  if (ctx_.format_version < wire::current_format_version) {
     out.why_not = "not all nodes run this version yet";
     co_return out;
   }
-  const auto stated = co_await state_.list("v/");
-  const ReadResult lead = co_await state_.get(wire::leader_key, store_limit);
+  const auto stated = co_await store_.list("v/");
+  const ReadResult lead = co_await store_.get(wire::leader_key, store_limit);
   if (!stated || lead.outcome != ReadOutcome::found) {
     out.why_not = "the state service does not answer, or no node leads";
     co_return out;
@@ -165,7 +165,7 @@
   follow.ask = wire::ConfigurationRequest::Ask::follow;
   for (const auto& peer : ctx_.settings.peers) {
     const bool there = std::ranges::any_of(
-        stated->items, [&](const wire::StoreItem& i) { return i.key == wire::node_level_key(peer.node); });
+        stated->items, [&](const wire::StoreItem& i) { return i.key == wire::node_format_version_key(peer.node); });
     wire::PeerRequest request{wire::PeerVerb::configuration, "", wire::encode_configuration_request(follow), {}};
     const auto reply = co_await peers_.ask_node(peer.node, std::move(request), store_limit);
     if (there && reply && reply->status == 200) continue;
@@ -192,7 +192,7 @@
     t.then.push_back({wire::changes_key(after.recorded.front()), std::nullopt, std::nullopt});
     after.recorded.erase(after.recorded.begin());
   }
-  t.when.push_back({wire::configuration_key, before.stamp});
+  t.when.push_back({wire::configuration_key, before.key_version});
   t.then.push_back({wire::configuration_key, wire::encode_configuration(after), std::nullopt});
   t.then.push_back({wire::changes_key(after.version), wire::encode_changes(changes), std::nullopt});
   return t;
@@ -201,10 +201,10 @@
 rt::Task<std::optional<bool>> ConfigurationChanges::was_committed(Transaction t) {
   const Stored now = co_await read();
   if (!now.known) co_return std::nullopt;
-  if (now.stamp != t.when.front().version) {
+  if (now.key_version != t.when.front().version) {
     if (now.row.mark == t.mark) co_return true;
     // Another came after it, or before: the row of its changes tells.
-    const ReadResult r = co_await state_.get(wire::changes_key(t.version), store_limit);
+    const ReadResult r = co_await store_.get(wire::changes_key(t.version), store_limit);
     if (r.outcome == ReadOutcome::failed) co_return std::nullopt;
     const auto changes = r.outcome == ReadOutcome::found ? wire::decode_changes(r.item.value) : std::nullopt;
     const bool ours = changes.has_value() && changes->mark == t.mark;
@@ -219,7 +219,7 @@
   while (ctx_.now() < deadline) {
     auto when = t.when;
     auto then = t.then;
-    const TxnResult r = co_await state_.txn(std::move(when), std::move(then), store_limit);
+    const TxnResult r = co_await store_.txn(std::move(when), std::move(then), store_limit);
     if (r.outcome == TxnOutcome::committed) co_return Outcome::committed;
     if (r.outcome == TxnOutcome::conflict && !doubt) co_return Outcome::lost;
     if (r.outcome == TxnOutcome::too_large) co_return Outcome::lost;
@@ -246,7 +246,7 @@
     auto after = merge(batch, before.row);
     if (!after) co_return;
     Fence fence;
-    if (before.stamp == Stamp{0}) fence = co_await fence_first_change();
+    if (before.key_version == KeyVersion{0}) fence = co_await fence_first_change();
     if (!fence.why_not.empty()) {
       answer_rest(batch, failure(503, fence.why_not));
       co_return;
@@ -272,7 +272,7 @@
 // ---- history ----
 
 rt::Task<wire::PeerReply> ConfigurationChanges::history() {
-  const auto rows = co_await state_.list(wire::changes_prefix);
+  const auto rows = co_await store_.list(wire::changes_prefix);
   if (!rows) co_return failure(503, "the state service does not answer");
   std::vector<wire::ConfigurationChange> changes;
   for (const auto& item : rows->items) {
--- a/src/service/configuration_changes.hpp
+++ b/src/service/configuration_changes.hpp
@@ -14,10 +14,10 @@
 
 class ConfigurationChanges {
  public:
-  ConfigurationChanges(Context& ctx, StateClient& state, PeerService& peers, ConfigurationService& configuration)
-      : ctx_(ctx), state_(state), peers_(peers), configuration_(configuration), asked_(ctx.loop) {}
+  ConfigurationChanges(Context& ctx, StoreClient& state, PeerService& peers, ConfigurationService& configuration)
+      : ctx_(ctx), store_(state), peers_(peers), configuration_(configuration), asked_(ctx.loop) {}
   rt::Task<void> run();
-  rt::Task<wire::PeerReply> on_peer(wire::PeerRequest request);
+  rt::Task<wire::PeerReply> on_peer_request(wire::PeerRequest request);
 
  private:
   // A change that its operator waits for.
@@ -38,7 +38,7 @@
   // What is in the store now.
   struct Stored {
     bool known = false;
-    Stamp stamp;  // 0: there is no configuration
+    KeyVersion key_version;  // 0: there is no configuration
     wire::ConfigurationRow row;
   };
   rt::Task<wire::PeerReply> apply(wire::ConfigurationRequest request);
@@ -62,7 +62,7 @@
   static void answer_rest(Batch& batch, const wire::PeerReply& reply);
 
   Context& ctx_;
-  StateClient& state_;
+  StoreClient& store_;
   PeerService& peers_;
   ConfigurationService& configuration_;
   std::deque<std::shared_ptr<Wanted>> waiting_;
--- a/src/service/configuration_service.cpp
+++ b/src/service/configuration_service.cpp
@@ -35,7 +35,7 @@
 
 rt::Task<bool> ConfigurationService::read(bool none_can_come) {
   const Time sent = ctx_.loop.refresh();
-  const ReadResult r = co_await state_.get_at_once(wire::configuration_key, read_limit);
+  const ReadResult r = co_await store_.get_unthrottled(wire::configuration_key, read_limit);
   if (r.outcome == ReadOutcome::failed) co_return false;
   const bool known = ctx_.configuration.version > ConfigurationVersion{0};
   if (r.outcome == ReadOutcome::absent) {
@@ -80,7 +80,7 @@
   ctx_.log->info("configuration version {} in force: {} teams", row.version.value(), ctx_.configuration.teams.size());
   if (ctx_.scheduler != nullptr) {
     ctx_.scheduler->configure(ctx_.configuration.teams, ctx_.configuration.policy);
-    ctx_.wake.notify();
+    ctx_.cycle_due.notify();
   }
   return true;
 }
@@ -90,7 +90,7 @@
 }
 
 rt::Task<wire::PeerReply> ConfigurationService::tell() {
-  const ReadResult r = co_await state_.get(wire::configuration_key, read_limit);
+  const ReadResult r = co_await store_.get(wire::configuration_key, read_limit);
   const auto row = r.outcome == ReadOutcome::found ? wire::decode_configuration(r.item.value) : std::nullopt;
   nlohmann::json body{{"inForce", ctx_.configuration.version.value()},
                       {"decides", ctx_.may_decide()},
--- a/src/service/configuration_service.hpp
+++ b/src/service/configuration_service.hpp
@@ -2,7 +2,7 @@
 // asked for until there is a configuration or another node wants to make the first (docs/safety.md, "Configuration").
 #pragma once
 #include "service/context.hpp"
-#include "service/state_client.hpp"
+#include "service/store_client.hpp"
 #include "wire/configuration_codec.hpp"
 #include "wire/peer_codec.hpp"
 
@@ -10,8 +10,8 @@
 
 class ConfigurationService {
  public:
-  ConfigurationService(Context& ctx, StateClient& state)
-      : ctx_(ctx), state_(state), files_(ctx.policy), woken_(ctx.loop) {}
+  ConfigurationService(Context& ctx, StoreClient& state)
+      : ctx_(ctx), store_(state), files_(ctx.policy), woken_(ctx.loop) {}
   rt::Task<void> run();
   // Reads the newest version; false where that cannot be known now. `none_can_come`: where there is none, none can come
   // without this node's word.
@@ -28,7 +28,7 @@
   void complain(const std::string& why);
 
   Context& ctx_;
-  StateClient& state_;
+  StoreClient& store_;
   const Policy files_;  // as the properties file has it
   rt::Event woken_;
   std::string complaint_;  // as last logged
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -8,16 +8,16 @@
 #include <string>
 
 #include "config/settings.hpp"
-#include "core/configuration.hpp"
-#include "core/leadership.hpp"
-#include "core/reach.hpp"
-#include "core/scheduler.hpp"
+#include "core/leadership/leadership.hpp"
+#include "core/model/configuration.hpp"
+#include "core/reachability/leader_reachability.hpp"
+#include "core/scheduler/scheduler.hpp"
 #include "metrics/metrics.hpp"
 #include "runtime/http_client.hpp"
 #include "runtime/loop.hpp"
-#include "service/final_memory.hpp"
+#include "service/finished_job_cache.hpp"
 #include "service/store_limits.hpp"
-#include "wire/state_codec.hpp"
+#include "wire/store_codec.hpp"
 
 namespace martenwall::service {
 
@@ -29,12 +29,12 @@
         log(std::move(logger)),
         configuration{ConfigurationVersion{0}, settings.teams, policy},
         limits(settings),
-        legacy_size(legacy_size_for(settings.state_value_bytes)),
+        v1_row_size(v1_row_size_for(settings.state_value_bytes)),
         leadership(policy, settings.workers),
-        hearing(settings.workers),
-        wake(l),
-        flush(l),
-        flushed(l),
+        reachability(settings.workers),
+        cycle_due(l),
+        writes_due(l),
+        write_committed(l),
         leader_changed(l),
         random(std::random_device{}()) {}
 
@@ -46,50 +46,52 @@
   ConfigurationValidity validity;  // of it
   bool version_stated = false;     // this node's version is in the store
   StoreLimits limits;
-  std::uint64_t level = 1;    // that all nodes are known to have reached
-  std::uint32_t legacy_size;  // task indices in a row by number; once the level was raised, as stored with it
+  std::uint64_t format_version = 1;  // that all nodes are known to have reached
+  std::uint32_t v1_row_size;         // task indices in a row by number; once the level was raised, as stored with it
   Leadership leadership;
-  Hearing hearing;                       // do workers reach this node?
-  TurnedAway turned_away;                // workers that were sent to the leader
+  LeaderReachability reachability;       // do workers reach this node?
+  RedirectedWorkers redirected_workers;  // workers that were sent to the leader
   std::unique_ptr<Scheduler> scheduler;  // while this node leads
   std::uint64_t term = 0;                // changes whenever leadership begins or ends
   std::string leader;                    // node that holds the key, as far as known
   std::vector<MachineType> types;
-  FinalMemory finals;
-  Time lease_checked{};                    // when the last renewal that was answered, or failed, was sent
-  Time state_ok{};                         // last answer of the state service
-  Time leader_ok{};                        // last answer of the leader to a forwarded request
-  Time link_failed{Duration::min() / 2};   // the leader did not answer over its peer link
-  Time others_wrote{Duration::min() / 2};  // another node left a note for this leader
-  rt::Event wake;                          // a round is due
-  rt::Event flush;                         // changes wait for the store
-  rt::Event flushed;                       // a generation was committed
+  FinishedJobCache finished_jobs;
+  Time lease_checked_at{};                          // when the last renewal that was answered, or failed, was sent
+  Time store_answered_at{};                         // last answer of the state service
+  Time leader_answered_at{};                        // last answer of the leader to a forwarded request
+  Time leader_link_failed_at{Duration::min() / 2};  // the leader did not answer over its peer link
+  Time peers_wrote_at{Duration::min() / 2};         // another node left a note for this leader
+  rt::Event cycle_due;                              // a round is due
+  rt::Event writes_due;                             // changes wait for the store
+  rt::Event write_committed;                        // a generation was committed
   rt::Event leader_changed;
   std::mt19937_64 random;
   metrics::Metrics metrics;
 
   [[nodiscard]] Time now() const { return loop.now(); }
   // The state service answered lately; followers hear of it every 2 s at least.
-  [[nodiscard]] bool reaches_state() const { return now() - state_ok < seconds(3.5); }
+  [[nodiscard]] bool reaches_store() const { return now() - store_answered_at < seconds(3.5); }
   [[nodiscard]] bool leads(std::uint64_t t) const { return term == t && scheduler != nullptr; }
   // Read anew: the process may have stood still since the loop last looked at the clock, and what binds others must
   // not rest on the moment before.
-  [[nodiscard]] bool proven() const { return scheduler != nullptr && leadership.proven(loop.refresh()); }
+  [[nodiscard]] bool has_valid_lease() const {
+    return scheduler != nullptr && leadership.has_valid_lease(loop.refresh());
+  }
   // What rests on the operators' configuration may be decided.
   [[nodiscard]] bool may_decide() const { return validity.may_decide(loop.refresh()); }
   // Tasks may be placed and started.
-  [[nodiscard]] bool may_start() const { return proven() && may_decide(); }
+  [[nodiscard]] bool may_start() const { return has_valid_lease() && may_decide(); }
   // Stood still since its lease was last looked at: another node may lead by now.
-  [[nodiscard]] bool just_woke() const { return lease_checked < loop.last_stall().ended; }
-  void kick() {
+  [[nodiscard]] bool resumed_after_stall() const { return lease_checked_at < loop.last_stall().ended; }
+  void notify_pending_work() {
     if (scheduler == nullptr) return;
-    if (scheduler->has_writes(false, loop.now())) flush.notify();
-    if (scheduler->stale()) wake.notify();
+    if (scheduler->has_writes(false, loop.now())) writes_due.notify();
+    if (scheduler->needs_cycle()) cycle_due.notify();
   }
   [[nodiscard]] bool has_other_leader() const { return !leader.empty() && leader != settings.node; }
   static std::int64_t wall_ms();
   // As versions of level 1 reckon it, to the number: another size would give their rows another meaning.
-  static std::uint32_t legacy_size_for(std::size_t value_bytes);
+  static std::uint32_t v1_row_size_for(std::size_t value_bytes);
 };
 
 }  // namespace martenwall::service
--- a/src/service/final_memory.hpp
+++ b/src/service/finished_job_cache.hpp
@@ -9,9 +9,9 @@
 
 namespace martenwall::service {
 
-class FinalMemory {
+class FinishedJobCache {
  public:
-  explicit FinalMemory(std::size_t most = 50'000) : most_(most) {}
+  explicit FinishedJobCache(std::size_t most = 50'000) : most_(most) {}
   void add(const JobStatus& s) {
     if (!is_final(s.phase) || !by_id_.try_emplace(s.id, s).second) return;
     order_.push_back(s.id);
--- a/src/service/level_service.hpp
+++ b/src/service/format_version_service.hpp
@@ -5,13 +5,13 @@
 #include <string>
 
 #include "service/context.hpp"
-#include "service/state_client.hpp"
+#include "service/store_client.hpp"
 
 namespace martenwall::service {
 
-class LevelService {
+class FormatVersionService {
  public:
-  LevelService(Context& ctx, StateClient& state) : ctx_(ctx), state_(state) {}
+  FormatVersionService(Context& ctx, StoreClient& state) : ctx_(ctx), store_(state) {}
   rt::Task<void> run();
   // Reads the level of all; nothing where the store did not answer. A leader does so before it reads any row.
   rt::Task<bool> read();
@@ -22,11 +22,11 @@
   [[nodiscard]] std::set<std::string> nodes() const;
 
   Context& ctx_;
-  StateClient& state_;
+  StoreClient& store_;
   std::string missing_;  // as last logged
 };
 
 // The sizes of the leader's rows, as the limits stand now.
-void apply_limits(Context& ctx);
+void apply_row_size_limits(Context& ctx);
 
 }  // namespace martenwall::service
--- a/src/service/job_rows.hpp
+++ b/src/service/job_row_store.hpp
@@ -3,32 +3,32 @@
 #include <optional>
 
 #include "service/context.hpp"
-#include "service/state_client.hpp"
+#include "service/store_client.hpp"
 
 namespace martenwall::service {
 
-class JobRows {
+class JobRowStore {
  public:
-  JobRows(Context& ctx, StateClient& state) : ctx_(ctx), state_(state) {}
+  JobRowStore(Context& ctx, StoreClient& state) : ctx_(ctx), store_(state) {}
 
   struct Read {
     ReadOutcome outcome = ReadOutcome::failed;  // absent: it is at neither key
     std::optional<Job> job;                     // nothing where the row cannot be read
-    Stamp version;
+    KeyVersion version;
   };
   // Of a job that has not ended. Looks at one key, then at the other.
   rt::Task<Read> read(JobId id);
-  rt::Task<Read> read_at(JobId id, bool chained);
+  rt::Task<Read> read_at(JobId id, bool dependent);
   rt::Task<std::optional<Job>> decode(JobId id, wire::json row);
   // Stores a job that neither is there nor was: with a note for the leader where `note` has a node's name.
   // The row itself comes last: until it stands the job is not accepted, whatever pieces of it there are.
   rt::Task<TxnResult> store_new(Job& job, std::string note);
 
  private:
-  rt::Task<bool> store_pieces(Job& job, wire::json& row);
+  rt::Task<bool> store_chunks(Job& job, wire::json& row);
 
   Context& ctx_;
-  StateClient& state_;
+  StoreClient& store_;
 };
 
 }  // namespace martenwall::service
--- a/src/service/metrics_service.cpp
+++ b/src/service/metrics_service.cpp
@@ -8,8 +8,8 @@
 constexpr std::size_t pairs_in_line = 12;
 }  // namespace
 
-MetricsService::MetricsService(Context& ctx, StateClient& state, std::function<Connections()> connections)
-    : ctx_(ctx), state_(state), connections_(std::move(connections)) {
+MetricsService::MetricsService(Context& ctx, StoreClient& state, std::function<Connections()> connections)
+    : ctx_(ctx), store_(state), connections_(std::move(connections)) {
   if (ctx_.policy.metrics_port == 0) return;
   rt::HttpServer::Bounds bounds;
   bounds.connections = scrapers;
@@ -19,21 +19,21 @@
                                              [this](rt::HttpMessage m) { return answer(std::move(m)); });
 }
 
-metrics::Levels MetricsService::levels() {
-  metrics::Levels l;
+metrics::Gauges MetricsService::gauges() {
+  metrics::Gauges l;
   const auto c = connections_();
   l.connections = c.all;
   l.worker_connections = c.workers;
   l.worker_room = c.worker_room;
-  l.state_requests_used = state_.requests_used();
+  l.state_requests_used = store_.requests_used();
   l.configuration = ctx_.configuration.version.value();
   if (ctx_.scheduler == nullptr) return l;
   l.leads = true;
   l.machines = ctx_.scheduler->machines().size();
   l.jobs = ctx_.scheduler->jobs().size();
-  for (const auto urgency : {Urgency::awaited, Urgency::borrowed, Urgency::spare}) {
-    const auto b = ctx_.scheduler->backlog(urgency, ctx_.now());
-    l.store_queues.at(static_cast<std::size_t>(urgency)) = {b.rows, to_seconds(b.oldest)};
+  for (const auto priority : {WritePriority::foreground, WritePriority::best_effort, WritePriority::deferrable}) {
+    const auto b = ctx_.scheduler->backlog(priority, ctx_.now());
+    l.store_queues.at(static_cast<std::size_t>(priority)) = {b.rows, to_seconds(b.oldest)};
   }
   return l;
 }
@@ -41,8 +41,8 @@
 rt::Task<rt::HttpResponse> MetricsService::answer(rt::HttpMessage request) {
   if (request.target != "/metrics") co_return rt::HttpResponse{404, "{}", {}, false};
   if (request.method != "GET") co_return rt::HttpResponse{405, "{}", {}, false};
-  ctx_.metrics.set(levels());
-  if (ctx_.scheduler != nullptr) ctx_.metrics.set(ctx_.scheduler->served().all());
+  ctx_.metrics.set(gauges());
+  if (ctx_.scheduler != nullptr) ctx_.metrics.set(ctx_.scheduler->service_record().all());
   rt::HttpResponse response{200, ctx_.metrics.exposition(), {}, false};
   response.content_type = "text/plain; version=0.0.4";
   co_return response;
@@ -52,8 +52,9 @@
   if (server_) rt::spawn(server_->serve());
   for (;;) {
     co_await ctx_.loop.sleep(line_every);
-    ctx_.log->info("minute: {}", ctx_.metrics.minute_line(levels()));
-    if (ctx_.scheduler != nullptr) ctx_.log->info("served: {}", ctx_.scheduler->served().minute_line(pairs_in_line));
+    ctx_.log->info("minute: {}", ctx_.metrics.minute_line(gauges()));
+    if (ctx_.scheduler != nullptr)
+      ctx_.log->info("served: {}", ctx_.scheduler->service_record().minute_line(pairs_in_line));
   }
 }
 
--- a/src/service/metrics_service.hpp
+++ b/src/service/metrics_service.hpp
@@ -5,7 +5,7 @@
 
 #include "runtime/http_server.hpp"
 #include "service/context.hpp"
-#include "service/state_client.hpp"
+#include "service/store_client.hpp"
 
 namespace martenwall::service {
 
@@ -14,16 +14,16 @@
   struct Connections {
     std::size_t all = 0, workers = 0, worker_room = 0;
   };
-  MetricsService(Context& ctx, StateClient& state, std::function<Connections()> connections);
+  MetricsService(Context& ctx, StoreClient& state, std::function<Connections()> connections);
   rt::Task<void> run();
   [[nodiscard]] std::uint16_t port() const { return server_ ? server_->port() : std::uint16_t{0}; }
-  [[nodiscard]] metrics::Levels levels();
+  [[nodiscard]] metrics::Gauges gauges();
 
  private:
   rt::Task<rt::HttpResponse> answer(rt::HttpMessage request);
 
   Context& ctx_;
-  StateClient& state_;
+  StoreClient& store_;
   std::function<Connections()> connections_;
   std::unique_ptr<rt::HttpServer> server_;  // nothing where no port is set
 };
--- a/src/service/node.cpp
+++ b/src/service/node.cpp
@@ -15,7 +15,7 @@
   b.connections = s.max_connections - kept;
   // A worker that is well speaks again sooner; a silent one's connection is better given to another.
   b.bulk_path = "/agent/";
-  b.bulk_idle = std::max(seconds(15), seconds(s.workers.report_s * 2.5));
+  b.bulk_idle = std::max(seconds(15), seconds(s.workers.heartbeat_interval_s * 2.5));
   return b;
 }
 
@@ -25,10 +25,10 @@
 }
 
 // A user gives up after 60 s and must hear of its job before; it asks again as often as it is told.
-constexpr int longest_return_s = 8;
+constexpr int max_retry_after_s = 8;
 
 // A submission costs one change of the state service, which all nodes share.
-double returns_a_second(const config::Settings& s) {
+double retries_per_second(const config::Settings& s) {
   return s.state_write_rps / static_cast<double>(s.peers.size() + 1);
 }
 
@@ -39,22 +39,22 @@
 Node::Node(rt::Loop& loop, config::Settings settings, Policy policy, std::shared_ptr<spdlog::logger> log)
     : ctx_(loop, std::move(settings), policy, std::move(log)),
       worker_room_(worker_room(bounds_of(ctx_.settings))),
-      returns_(returns_a_second(ctx_.settings), longest_return_s),
-      state_(ctx_),
-      job_rows_(ctx_, state_),
-      levels_(ctx_, state_),
-      configuration_(ctx_, state_),
-      store_(ctx_, state_, job_rows_, levels_, configuration_),
-      workers_(ctx_, store_),
-      cloud_(ctx_, state_),
-      users_(ctx_, state_, store_, job_rows_),
+      retry_after_(retries_per_second(ctx_.settings), max_retry_after_s),
+      store_(ctx_),
+      job_rows_(ctx_, store_),
+      format_versions_(ctx_, store_),
+      configuration_(ctx_, store_),
+      leader_store_(ctx_, store_, job_rows_, format_versions_, configuration_),
+      workers_(ctx_, leader_store_),
+      cloud_(ctx_, store_),
+      users_(ctx_, store_, leader_store_, job_rows_),
       peers_(ctx_, [this](wire::PeerRequest r) { return route_peer(std::move(r)); }),
-      changes_(ctx_, state_, peers_, configuration_),
-      reach_(ctx_, state_, store_, peers_),
+      changes_(ctx_, store_, peers_, configuration_),
+      reach_(ctx_, store_, leader_store_, peers_),
       relay_(ctx_, peers_, workers_),
       server_(loop, *rt::Endpoint::parse(ctx_.settings.listen), bounds_of(ctx_.settings),
               [this](rt::HttpMessage m) { return route(std::move(m)); }),
-      metrics_(ctx_, state_, [this] {
+      metrics_(ctx_, store_, [this] {
         return MetricsService::Connections{server_.open(), server_.bulk(), worker_room_};
       }) {
   users_.set_peers(peers_);
@@ -66,10 +66,10 @@
   ctx_.loop.on_stall([this](const rt::Loop::Stall& s) {
     ctx_.log->info("this node stood still for {:.1f} s ({})", to_seconds(s.length), name_of(ctx_.leadership.state()));
   });
-  rt::spawn(levels_.run());
+  rt::spawn(format_versions_.run());
   rt::spawn(configuration_.run());
   rt::spawn(changes_.run());
-  rt::spawn(store_.run());
+  rt::spawn(leader_store_.run());
   rt::spawn(workers_.run());
   rt::spawn(workers_.send_loop());
   rt::spawn(cloud_.run_types());
@@ -77,7 +77,7 @@
   rt::spawn(cloud_.run_fleet());
   rt::spawn(peers_.serve());
   rt::spawn(peers_.watch_others());
-  rt::spawn(users_.run_questions());
+  rt::spawn(users_.run_status_queries());
   rt::spawn(reach_.run());
   rt::spawn(relay_.run());
   rt::spawn(metrics_.run());
@@ -94,7 +94,7 @@
 rt::Task<rt::HttpResponse> Node::route(rt::HttpMessage request) {
   rt::HttpResponse response = co_await route_path(std::move(request));
   // After an outage all users who were refused would else come back within the same second.
-  if (response.retry_after_s) response.retry_after_s = returns_.next(ctx_.loop.refresh());
+  if (response.retry_after_s) response.retry_after_s = retry_after_.next(ctx_.loop.refresh());
   co_return response;
 }
 
@@ -102,7 +102,7 @@
   const std::string path = request.target.substr(0, request.target.find('?'));
   if (path == "/agent/beat") {
     if (request.method != "POST") co_return plain(405);
-    co_return co_await relay_.report(std::move(request.body));
+    co_return co_await relay_.on_heartbeat(std::move(request.body));
   }
   if (path == "/up") {
     if (request.method != "GET") co_return plain(405);
@@ -120,11 +120,11 @@
 }
 
 rt::Task<wire::PeerReply> Node::route_peer(wire::PeerRequest request) {
-  if (request.verb == wire::PeerVerb::stranded) co_return reach_.on_claim(request);
-  if (request.verb == wire::PeerVerb::reports) co_return co_await relay_.on_reports(std::move(request));
-  if (request.verb == wire::PeerVerb::configuration) co_return co_await changes_.on_peer(std::move(request));
-  if (request.verb == wire::PeerVerb::cloud) co_return co_await cloud_.on_peer(std::move(request));
-  co_return co_await users_.on_peer(std::move(request));
+  if (request.verb == wire::PeerVerb::stranded) co_return reach_.on_stranded_report(request);
+  if (request.verb == wire::PeerVerb::heartbeats) co_return co_await relay_.on_heartbeats(std::move(request));
+  if (request.verb == wire::PeerVerb::configuration) co_return co_await changes_.on_peer_request(std::move(request));
+  if (request.verb == wire::PeerVerb::cloud) co_return co_await cloud_.on_peer_request(std::move(request));
+  co_return co_await users_.on_peer_request(std::move(request));
 }
 
 rt::Task<rt::HttpResponse> Node::route_job(const std::string& method, std::string rest) {
--- a/src/service/node.hpp
+++ b/src/service/node.hpp
@@ -1,19 +1,19 @@
 // One controller node: its services and their routes.
 #pragma once
-#include "core/return_times.hpp"
+#include "core/leadership/retry_after.hpp"
 #include "runtime/http_server.hpp"
 #include "service/cloud_service.hpp"
 #include "service/configuration_changes.hpp"
 #include "service/configuration_service.hpp"
 #include "service/context.hpp"
-#include "service/job_rows.hpp"
+#include "service/format_version_service.hpp"
+#include "service/heartbeat_relay.hpp"
+#include "service/job_row_store.hpp"
 #include "service/leader_store.hpp"
-#include "service/level_service.hpp"
 #include "service/metrics_service.hpp"
 #include "service/peer_service.hpp"
-#include "service/reach_service.hpp"
-#include "service/relay_service.hpp"
-#include "service/state_client.hpp"
+#include "service/reachability_service.hpp"
+#include "service/store_client.hpp"
 #include "service/user_service.hpp"
 #include "service/worker_service.hpp"
 
@@ -36,19 +36,19 @@
 
   Context ctx_;
   const std::size_t worker_room_;  // connections that workers may hold
-  ReturnTimes returns_;            // of users that were refused
-  StateClient state_;
-  JobRows job_rows_;
-  LevelService levels_;
+  RetryAfterPacer retry_after_;    // of users that were refused
+  StoreClient store_;
+  JobRowStore job_rows_;
+  FormatVersionService format_versions_;
   ConfigurationService configuration_;
-  LeaderStore store_;
+  LeaderStore leader_store_;
   WorkerService workers_;
   CloudService cloud_;
   UserService users_;
   PeerService peers_;
   ConfigurationChanges changes_;
-  ReachService reach_;
-  RelayService relay_;
+  ReachabilityService reach_;
+  HeartbeatRelay relay_;
   rt::HttpServer server_;
   MetricsService metrics_;
 };
--- a/src/service/peer_service.cpp
+++ b/src/service/peer_service.cpp
@@ -90,7 +90,7 @@
   seen_.resize(ctx_.settings.peers.size());
   for (;;) {
     co_await ctx_.loop.sleep(ping_every);
-    if (ctx_.reaches_state()) continue;
+    if (ctx_.reaches_store()) continue;
     for (std::size_t i = 0; i < seen_.size(); ++i) rt::spawn(ping(i));
   }
 }
@@ -100,7 +100,7 @@
   for (const auto& s : seen_) {
     if (ctx_.now() - s.at > ping_valid) continue;
     if (s.serving) return Others::serving;
-    out = Others::as_stuck;
+    out = Others::equally_cut_off;
   }
   return out;
 }
@@ -139,11 +139,11 @@
   if (!reply) {
     // Refused or silent: for a moment the store is asked instead, so that users need not wait for it each time.
     link_down_to_ = leader;
-    ctx_.link_failed = ctx_.now();
+    ctx_.leader_link_failed_at = ctx_.now();
     link_down_until_ = ctx_.now() + link_pause;
   }
   if (reply && reply->status == 421) co_return std::nullopt;
-  if (reply) ctx_.leader_ok = ctx_.now();
+  if (reply) ctx_.leader_answered_at = ctx_.now();
   co_return reply;
 }
 
--- a/src/service/peer_service.hpp
+++ b/src/service/peer_service.hpp
@@ -28,7 +28,7 @@
   // While this node cannot serve by itself: asks the others whether they can.
   rt::Task<void> watch_others();
   [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
-  enum class Others { unreachable, as_stuck, serving };
+  enum class Others { unreachable, equally_cut_off, serving };
   [[nodiscard]] Others others() const;
 
  private:
--- a/src/service/state_client.cpp
+++ b/src/service/store_client.cpp
@@ -1,4 +1,4 @@
-#include "service/state_client.hpp"
+#include "service/store_client.hpp"
 
 namespace martenwall::service {
 
@@ -15,22 +15,22 @@
 constexpr double poll_reserve = 0.4;            // of this node's share of requests: polls leave it for submissions
 }  // namespace
 
-StateClient::StateClient(Context& ctx)
+StoreClient::StoreClient(Context& ctx)
     : ctx_(ctx),
       http_(ctx.loop, 24, max_response, 12),
       requests_(ctx.limits.rps() * follower_share),
       writes_(ctx.limits.write_rps() * follower_share),
       line_moved_(ctx.loop) {}
 
-double StateClient::share_now() const {
+double StoreClient::share_now() const {
   if (ctx_.scheduler != nullptr) {
-    return ctx_.now() - ctx_.others_wrote < sharing_time ? sharing_leader_share : leader_share;
+    return ctx_.now() - ctx_.peers_wrote_at < sharing_time ? sharing_leader_share : leader_share;
   }
   if (!ctx_.has_other_leader()) return leaderless_share;
-  return ctx_.now() - ctx_.link_failed < sharing_time ? lonely_follower_share : follower_share;
+  return ctx_.now() - ctx_.leader_link_failed_at < sharing_time ? lonely_follower_share : follower_share;
 }
 
-rt::Task<bool> StateClient::admit(double writes, Duration longest, double keep) {
+rt::Task<bool> StoreClient::admit(double writes, Duration longest, double keep) {
   const Time until = ctx_.now() + longest;
   for (;;) {
     const double share = share_now();
@@ -49,7 +49,7 @@
 
 // Of transactions that each took what there was whenever there was some, one of many changes would never find enough
 // at once, as long as small ones come (rows waited up to 53 s in inc-d2ba).
-rt::Task<bool> StateClient::admit_in_line(double writes, Duration longest) {
+rt::Task<bool> StoreClient::admit_in_order(double writes, Duration longest) {
   const Time until = ctx_.now() + longest;
   const auto ticket = next_ticket_++;
   line_.push_back(ticket);
@@ -64,10 +64,10 @@
   co_return admitted;
 }
 
-rt::Task<rt::HttpResult> StateClient::send(std::string method, std::string target, std::string body, Duration timeout) {
+rt::Task<rt::HttpResult> StoreClient::send(std::string method, std::string target, std::string body, Duration timeout) {
   rt::HttpResult r =
       co_await http_.request(ctx_.settings.state, std::move(method), std::move(target), std::move(body), timeout);
-  if (r.outcome == rt::Outcome::answered && r.status != 503) ctx_.state_ok = ctx_.now();
+  if (r.outcome == rt::Outcome::answered && r.status != 503) ctx_.store_answered_at = ctx_.now();
   if (r.outcome == rt::Outcome::answered && r.status == 429 && ctx_.limits.refused_rate(ctx_.now())) {
     ctx_.log->info(
         "the state service refuses requests beyond lower rates: {} requests and {} changes a second from now on",
@@ -76,18 +76,18 @@
   co_return r;
 }
 
-rt::Task<ReadResult> StateClient::get(std::string key, Duration timeout) {
+rt::Task<ReadResult> StoreClient::get(std::string key, Duration timeout) {
   const bool admitted = co_await admit(0, timeout);
   if (!admitted) co_return ReadResult{};
   co_return co_await read(std::move(key), timeout);
 }
 
-rt::Task<ReadResult> StateClient::get_at_once(std::string key, Duration timeout) {
+rt::Task<ReadResult> StoreClient::get_unthrottled(std::string key, Duration timeout) {
   requests_.take(1, 0, ctx_.now());
   co_return co_await read(std::move(key), timeout);
 }
 
-rt::Task<ReadResult> StateClient::read(std::string key, Duration timeout) {
+rt::Task<ReadResult> StoreClient::read(std::string key, Duration timeout) {
   ReadResult out;
   const rt::HttpResult r = co_await send("GET", "/store/" + key, "", timeout);
   if (r.outcome != rt::Outcome::answered) co_return out;
@@ -100,7 +100,7 @@
   co_return out;
 }
 
-rt::Task<std::optional<wire::StorePage>> StateClient::page(std::string prefix, std::string after) {
+rt::Task<std::optional<wire::StorePage>> StoreClient::page(std::string prefix, std::string after) {
   const bool admitted = co_await admit(0, seconds(2));
   if (!admitted) co_return std::nullopt;
   std::string target = "/store?prefix=" + prefix + "&page=1000";
@@ -110,7 +110,7 @@
   co_return wire::parse_page(r.body);
 }
 
-rt::Task<std::optional<wire::StorePage>> StateClient::list(std::string prefix) {
+rt::Task<std::optional<wire::StorePage>> StoreClient::list(std::string prefix) {
   std::optional<wire::StorePage> all;
   std::string after;
   for (;;) {
@@ -127,12 +127,12 @@
   }
 }
 
-rt::Task<TxnResult> StateClient::txn(std::vector<wire::Condition> when, std::vector<wire::StoreOp> then,
-                                     Duration timeout, Turn turn) {
+rt::Task<TxnResult> StoreClient::txn(std::vector<wire::Condition> when, std::vector<wire::StoreOp> then,
+                                     Duration timeout, Queueing turn) {
   TxnResult out;
   const auto writes = static_cast<double>(then.size());
   const bool admitted =
-      turn == Turn::in_line ? co_await admit_in_line(writes, timeout) : co_await admit(writes, timeout);
+      turn == Queueing::fifo ? co_await admit_in_order(writes, timeout) : co_await admit(writes, timeout);
   if (!admitted) co_return out;
   std::string body = wire::encode_txn(when, then);
   const auto size = body.size();
@@ -155,14 +155,15 @@
   co_return out;
 }
 
-rt::Task<std::optional<std::set<std::string>>> StateClient::existing(std::vector<std::string> keys, Duration timeout) {
+rt::Task<std::optional<std::set<std::string>>> StoreClient::find_existing(std::vector<std::string> keys,
+                                                                          Duration timeout) {
   const Time until = ctx_.now() + timeout;
   const double keep = ctx_.limits.rps() * share_now() * poll_reserve;
   const bool admitted = co_await admit(0, timeout, keep);
   if (!admitted) co_return std::nullopt;
   std::vector<wire::Condition> when;
   when.reserve(keys.size());
-  for (auto& key : keys) when.push_back({std::move(key), Stamp{0}});
+  for (auto& key : keys) when.push_back({std::move(key), KeyVersion{0}});
   std::string body = wire::encode_txn(when, {});
   const Duration left = std::max(Duration{10000}, until - ctx_.now());
   const rt::HttpResult r = co_await send("POST", "/multi", std::move(body), left);
@@ -175,26 +176,26 @@
   co_return out;
 }
 
-bool StateClient::has_spare_writes() { return writes_.level(ctx_.now()) > 0.3; }
+bool StoreClient::has_unused_write_rate() { return writes_.fill_level(ctx_.now()) > 0.3; }
 
-rt::Task<std::optional<LeaseId>> StateClient::create_lease(Duration ttl) {
+rt::Task<std::optional<LeaseId>> StoreClient::create_lease(Duration ttl) {
   const rt::HttpResult r = co_await send("POST", "/leases", wire::encode_lease(ttl), seconds(1));
   if (!r.ok()) co_return std::nullopt;
   co_return wire::parse_lease(r.body);
 }
 
-rt::Task<StateClient::Touch> StateClient::touch(LeaseId lease, Duration timeout) {
+rt::Task<StoreClient::LeaseRenewal> StoreClient::renew_lease(LeaseId lease, Duration timeout) {
   requests_.take(1, 0, ctx_.now());
   const rt::HttpResult r = co_await send("POST", "/leases/" + std::to_string(lease.value()) + "/touch", "{}", timeout);
-  if (r.ok()) co_return Touch::renewed;
-  co_return r.outcome == rt::Outcome::answered&& r.status == 404 ? Touch::ended : Touch::failed;
+  if (r.ok()) co_return LeaseRenewal::renewed;
+  co_return r.outcome == rt::Outcome::answered&& r.status == 404 ? LeaseRenewal::ended : LeaseRenewal::failed;
 }
 
-rt::Task<void> StateClient::end_lease(LeaseId lease) {
+rt::Task<void> StoreClient::end_lease(LeaseId lease) {
   co_await send("DELETE", "/leases/" + std::to_string(lease.value()), "", seconds(1));
 }
 
-rt::Task<StateClient::WatchResult> StateClient::watch(std::string prefix, Revision after, Duration hold) {
+rt::Task<StoreClient::WatchResult> StoreClient::watch(std::string prefix, Revision after, Duration hold) {
   WatchResult out;
   const bool admitted = co_await admit(0, seconds(2));
   if (!admitted) co_return out;
--- a/src/service/state_client.hpp
+++ b/src/service/store_client.hpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "service/context.hpp"
-#include "service/rate.hpp"
-#include "wire/state_codec.hpp"
+#include "service/token_bucket.hpp"
+#include "wire/store_codec.hpp"
 
 namespace martenwall::service {
 
@@ -25,26 +25,26 @@
   Revision revision;
 };
 
-class StateClient {
+class StoreClient {
  public:
-  explicit StateClient(Context& ctx);
+  explicit StoreClient(Context& ctx);
   rt::Task<ReadResult> get(std::string key, Duration timeout);
   // Goes before all that waits for this node's share; for the few reads that decisions wait for.
-  rt::Task<ReadResult> get_at_once(std::string key, Duration timeout);
+  rt::Task<ReadResult> get_unthrottled(std::string key, Duration timeout);
   rt::Task<std::optional<wire::StorePage>> list(std::string prefix);  // all pages
   rt::Task<std::optional<wire::StorePage>> page(std::string prefix, std::string after);
   // Users' submissions and the like go before the leader's rows, which wait in line.
-  enum class Turn { first, in_line };
+  enum class Queueing { first, fifo };
   rt::Task<TxnResult> txn(std::vector<wire::Condition> when, std::vector<wire::StoreOp> then, Duration timeout,
-                          Turn turn = Turn::first);
+                          Queueing turn = Queueing::first);
   // Which of the keys exist, in one request: a transaction that only compares.
-  rt::Task<std::optional<std::set<std::string>>> existing(std::vector<std::string> keys, Duration timeout);
+  rt::Task<std::optional<std::set<std::string>>> find_existing(std::vector<std::string> keys, Duration timeout);
   // A good part of this node's share of changes is unused at the moment.
-  [[nodiscard]] bool has_spare_writes();
-  [[nodiscard]] double requests_used() { return 1 - requests_.level(ctx_.now()); }  // of this node's share, 0 to 1
+  [[nodiscard]] bool has_unused_write_rate();
+  [[nodiscard]] double requests_used() { return 1 - requests_.fill_level(ctx_.now()); }  // of this node's share, 0 to 1
   rt::Task<std::optional<LeaseId>> create_lease(Duration ttl);
-  enum class Touch { renewed, ended, failed };
-  rt::Task<Touch> touch(LeaseId lease, Duration timeout);
+  enum class LeaseRenewal { renewed, ended, failed };
+  rt::Task<LeaseRenewal> renew_lease(LeaseId lease, Duration timeout);
   rt::Task<void> end_lease(LeaseId lease);
   enum class WatchOutcome { events, too_old, failed };
   struct WatchResult {
@@ -60,13 +60,13 @@
   // wait.
   [[nodiscard]] double share_now() const;
   rt::Task<bool> admit(double writes, Duration longest, double keep = renewal_reserve);
-  rt::Task<bool> admit_in_line(double writes, Duration longest);
+  rt::Task<bool> admit_in_order(double writes, Duration longest);
   rt::Task<rt::HttpResult> send(std::string method, std::string target, std::string body, Duration timeout);
 
   Context& ctx_;
   rt::HttpClient http_;
-  Rate requests_;
-  Rate writes_;
+  TokenBucket requests_;
+  TokenBucket writes_;
   std::deque<std::uint64_t> line_;  // transactions that wait for their turn
   std::uint64_t next_ticket_ = 0;
   rt::Event line_moved_;
--- a/src/service/rate.hpp
+++ b/src/service/token_bucket.hpp
@@ -6,9 +6,9 @@
 
 namespace martenwall::service {
 
-class Rate {
+class TokenBucket {
  public:
-  explicit Rate(double per_second) : per_second_(per_second), tokens_(per_second) {}
+  explicit TokenBucket(double per_second) : per_second_(per_second), tokens_(per_second) {}
   void set(double per_second) { per_second_ = per_second; }
   // Time to wait before `cost` may be spent while `keep` stays in reserve; zero: spent.
   Duration take(double cost, double keep, Time now) {
@@ -21,7 +21,7 @@
     return seconds(missing / per_second_) + Duration{1000};
   }
   // Unused share of the bucket, 0 to 1.
-  double level(Time now) {
+  double fill_level(Time now) {
     refill(now);
     return tokens_ / std::max(1.0, per_second_);
   }
--- a/src/service/user_service.hpp
+++ b/src/service/user_service.hpp
@@ -8,24 +8,24 @@
 
 #include "runtime/http_server.hpp"
 #include "service/context.hpp"
-#include "service/job_rows.hpp"
+#include "service/job_row_store.hpp"
 #include "service/leader_store.hpp"
 #include "service/peer_service.hpp"
-#include "service/state_client.hpp"
+#include "service/store_client.hpp"
 
 namespace martenwall::service {
 
 class UserService {
  public:
-  UserService(Context& ctx, StateClient& state, LeaderStore& store, JobRows& jobs)
-      : ctx_(ctx), state_(state), store_(store), job_rows_(jobs), wake_(ctx.loop) {}
+  UserService(Context& ctx, StoreClient& state, LeaderStore& store, JobRowStore& jobs)
+      : ctx_(ctx), store_(state), leader_store_(store), job_rows_(jobs), wake_(ctx.loop) {}
   void set_peers(PeerService& peers) { peers_ = &peers; }
 
   rt::Task<rt::HttpResponse> submit(std::string body);
   rt::Task<rt::HttpResponse> status(std::string id);
   rt::Task<rt::HttpResponse> cancel(std::string id);
-  rt::Task<wire::PeerReply> on_peer(wire::PeerRequest request);  // asked by another node
-  rt::Task<void> run_questions();
+  rt::Task<wire::PeerReply> on_peer_request(wire::PeerRequest request);  // asked by another node
+  rt::Task<void> run_status_queries();
   [[nodiscard]] bool healthy() const;
 
  private:
@@ -36,25 +36,25 @@
     JobStatus status;
   };
   // A poll that waits for its answer; many are answered by one message or one read.
-  struct Question {
-    Question(rt::Loop& loop, JobId job) : id(std::move(job)), answered(loop) {}
+  struct StatusQuery {
+    StatusQuery(rt::Loop& loop, JobId job) : id(std::move(job)), answered(loop) {}
     JobId id;
     std::optional<Finding> finding;
     bool unknown_to_leader = false;  // it said so
     rt::Event answered;
   };
-  using Questions = std::vector<std::shared_ptr<Question>>;
+  using StatusQueries = std::vector<std::shared_ptr<StatusQuery>>;
 
   [[nodiscard]] Fit can_run(const JobSpec& spec, std::string& why) const;
   rt::Task<rt::HttpResponse> accept(JobSpec spec, bool as_leader);
-  rt::Task<rt::HttpResponse> accept_chained(JobSpec spec, bool as_leader);
+  rt::Task<rt::HttpResponse> accept_dependent(JobSpec spec, bool as_leader);
   // What the store and this node know of the jobs that another awaits.
-  struct Awaited {
+  struct DependencyCheck {
     enum class Outcome { known, job_is_there, never_accepted, unsure } outcome = Outcome::unsure;
-    std::vector<JobId> open;  // not known to be done
+    std::vector<JobId> open_dependencies;  // not known to be done
   };
-  rt::Task<Awaited> look_at_awaited(JobSpec spec, bool as_leader);
-  rt::Task<std::optional<std::set<std::string>>> existing(std::vector<std::string> keys);
+  rt::Task<DependencyCheck> check_dependencies(JobSpec spec, bool as_leader);
+  rt::Task<std::optional<std::set<std::string>>> find_existing(std::vector<std::string> keys);
   rt::Task<Finding> read_final(JobId id);
   // False unless reads of the store show that nothing the job needs is cancelled.
   rt::Task<bool> may_call_active(Job job);
@@ -64,25 +64,25 @@
   rt::Task<rt::HttpResponse> cancel_here(JobId id);
   rt::Task<rt::HttpResponse> cancel_by_note(JobId id);
   rt::Task<rt::HttpResponse> forward(wire::PeerVerb verb, std::string id, std::string body, Duration timeout);
-  rt::Task<void> answer_questions(Questions questions);
-  rt::Task<void> ask_leader_for(Questions& questions);
-  rt::Task<void> ask_store_for(Questions questions);
-  rt::Task<void> answer_from_store(Question& question, const std::optional<std::set<std::string>>& there,
+  rt::Task<void> answer_queries(StatusQueries queries);
+  rt::Task<void> ask_leader_for(StatusQueries& queries);
+  rt::Task<void> ask_store_for(StatusQueries queries);
+  rt::Task<void> answer_from_store(StatusQuery& query, const std::optional<std::set<std::string>>& there,
                                    std::uint64_t term);
-  void remind_leader(const JobId& id);
-  rt::Task<void> write_note(JobId id);
-  void settle(Question& question, Finding finding);
+  void notify_leader(const JobId& id);
+  rt::Task<void> write_inbox_note(JobId id);
+  void resolve(StatusQuery& query, Finding finding);
   [[nodiscard]] std::optional<Finding> from_memory(const JobId& id) const;
 
   Context& ctx_;
-  StateClient& state_;
-  LeaderStore& store_;
-  JobRows& job_rows_;
+  StoreClient& store_;
+  LeaderStore& leader_store_;
+  JobRowStore& job_rows_;
   PeerService* peers_ = nullptr;
-  Questions asked_;
-  std::unordered_map<JobId, std::shared_ptr<Question>> queued_;  // those of them, by job
-  std::unordered_map<JobId, Time> reminded_;                     // the leader, of these jobs, when
-  std::size_t batches_ = 0;                                      // of questions, under way
+  StatusQueries asked_;
+  std::unordered_map<JobId, std::shared_ptr<StatusQuery>> queued_;  // those of them, by job
+  std::unordered_map<JobId, Time> notified_at_;                     // the leader, of these jobs, when
+  std::size_t batches_ = 0;                                         // of questions, under way
   rt::Event wake_;
 };
 
--- a/src/service/worker_service.hpp
+++ b/src/service/worker_service.hpp
@@ -14,24 +14,24 @@
   // Commands go to many machines and to each one seldom: their connections are not kept, since with one to
   // each worker, beside the workers' own, a large fleet would use up the sockets.
   WorkerService(Context& ctx, LeaderStore& store)
-      : ctx_(ctx), store_(store), http_(ctx.loop, ctx.settings.max_connections / 10, 256 * 1024, 0) {}
+      : ctx_(ctx), leader_store_(store), http_(ctx.loop, ctx.settings.max_connections / 10, 256 * 1024, 0) {}
   // Waits while this node is about to know whether it leads; what `answer` says then binds at that moment.
   rt::Task<void> settled();
   // To one report, at once: no wait may come between this and its sending. A stop there is harmless (docs/safety.md).
-  ReportAnswer answer(const WorkerReport& report);
-  [[nodiscard]] rt::HttpResponse response_to(const ReportAnswer& answer, Token token) const;
+  HeartbeatResponse answer(const Heartbeat& heartbeat);
+  [[nodiscard]] rt::HttpResponse response_to(const HeartbeatResponse& answer, FencingToken token) const;
   [[nodiscard]] rt::HttpResponse misdirected() const;
   rt::Task<void> run();        // rounds, while this node leads
   rt::Task<void> send_loop();  // direct commands after each commit
 
  private:
-  rt::Task<void> send(std::uint64_t term, DirectBatch batch);
+  rt::Task<void> send(std::uint64_t term, CommandBatch batch);
   rt::Task<void> announce_all(std::uint64_t term);
-  rt::Task<void> announce_some(std::uint64_t term, std::shared_ptr<std::vector<DirectBatch>> left);
-  rt::Task<void> announce(std::uint64_t term, DirectBatch batch);
+  rt::Task<void> announce_some(std::uint64_t term, std::shared_ptr<std::vector<CommandBatch>> left);
+  rt::Task<void> announce(std::uint64_t term, CommandBatch batch);
 
   Context& ctx_;
-  LeaderStore& store_;
+  LeaderStore& leader_store_;
   rt::HttpClient http_;
 };
 
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -46,11 +46,11 @@
   return json{{"breeds", std::move(rows)}}.dump();
 }
 
-std::string encode_hire(const HireRequest& r) {
+std::string encode_scale_out(const ScaleOutRequest& r) {
   return json{{"hire", r.name}, {"breed", r.type}, {"yard", r.zone}, {"loaners", r.spot}, {"count", r.count}}.dump();
 }
 
-std::optional<std::vector<MachineId>> parse_hired(const std::string& body) {
+std::optional<std::vector<MachineId>> parse_scale_out_response(const std::string& body) {
   const auto o = parse(body);
   if (field(o, "hosts") == nullptr) return std::nullopt;
   std::vector<MachineId> out;
--- a/src/wire/configuration_codec.hpp
+++ b/src/wire/configuration_codec.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/configuration.hpp"
+#include "core/model/configuration.hpp"
 #include "wire/json_fields.hpp"
 
 namespace martenwall::wire {
--- a/src/wire/peer_codec.hpp
+++ b/src/wire/peer_codec.hpp
@@ -15,8 +15,8 @@
   ping = 5,
   stranded = 6,
   cloud = 7,
-  submit_chained = 8,
-  reports = 9,
+  submit_dependent = 8,
+  heartbeats = 9,
   configuration = 10
 };
 
@@ -50,8 +50,8 @@
 };
 
 // In the answer to a ping; versions that do not pass reports on say nothing there.
-constexpr std::string_view takes_reports = "leads";
-constexpr std::string_view passes_reports = "follows";
+constexpr std::string_view accepts_heartbeats = "leads";
+constexpr std::string_view forwards_heartbeats = "follows";
 
 constexpr std::size_t max_peer_frame = 80 * 1024;
 std::string encode_frame(const PeerRequest& request);
