--- a/src/wire/state_codec.cpp
+++ b/src/wire/store_codec.cpp
@@ -1,4 +1,4 @@
-#include "wire/state_codec.hpp"
+#include "wire/store_codec.hpp"
 
 #include <map>
 
@@ -14,7 +14,7 @@
   const auto version = count(o, "stamp");
   const auto* value = field(o, "data");
   if (!key || !version) return std::nullopt;
-  return StoreItem{*key, value != nullptr ? *value : json{}, Stamp{*version}, false};
+  return StoreItem{*key, value != nullptr ? *value : json{}, KeyVersion{*version}, false};
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
     const auto removed = text(e, "remove");
     const auto* value = field(e, "data");
     page.items.push_back({set.value_or(removed.value_or("")), value != nullptr ? *value : json{},
-                          Stamp{count(e, "stamp").value_or(0)}, removed.has_value()});
+                          KeyVersion{count(e, "stamp").value_or(0)}, removed.has_value()});
   }
   return page;
 }
@@ -78,7 +78,7 @@
   return id ? std::optional{LeaseId{*id}} : std::nullopt;
 }
 
-std::string job_key(const JobId& id, bool chained) { return (chained ? "k/" : "j/") + id.value(); }
+std::string job_key(const JobId& id, bool dependent) { return (dependent ? "k/" : "j/") + id.value(); }
 std::string final_key(const JobId& id) { return "f/" + id.value(); }
 std::string just_before_final(const JobId& id) {
   std::string key = final_key(id);
@@ -88,11 +88,11 @@
 std::string inbox_key(const JobId& id) { return "i/" + id.value(); }
 std::string machines_key(std::uint32_t group) { return "m/" + std::to_string(group); }
 std::string tasks_key(const JobId& id, std::uint32_t first) { return "q/" + id.value() + "/" + std::to_string(first); }
-std::string legacy_tasks_key(const JobId& id, std::uint32_t number) {
+std::string v1_tasks_key(const JobId& id, std::uint32_t number) {
   return "p/" + id.value() + "/" + std::to_string(number);
 }
-std::string node_level_key(const std::string& node) { return "v/" + node; }
-std::string piece_key(const JobId& id, const std::string& nonce, std::size_t n) {
+std::string node_format_version_key(const std::string& node) { return "v/" + node; }
+std::string chunk_key(const JobId& id, const std::string& nonce, std::size_t n) {
   return "c/" + id.value() + "/" + nonce + "/" + std::to_string(n);
 }
 
@@ -102,8 +102,8 @@
       return final_key(JobId{row.id});
     case RowKind::tasks:
       return tasks_key(JobId{row.id}, row.part);
-    case RowKind::legacy_tasks:
-      return legacy_tasks_key(JobId{row.id}, row.part);
+    case RowKind::tasks_v1:
+      return v1_tasks_key(JobId{row.id}, row.part);
     default:
       return machines_key(row.part);
   }
@@ -111,15 +111,15 @@
 
 json encode_leader(const LeaderRow& row) { return {{"node", row.node}, {"nonce", row.nonce}}; }
 LeaderRow decode_leader(const json& v) { return {text(v, "node").value_or(""), text(v, "nonce").value_or("")}; }
-json encode_reign(Duration grace) { return {{"grace_ms", grace.count() / 1000}}; }
-std::optional<Duration> decode_reign(const json& v) {
+json encode_leadership_record(Duration grace) { return {{"grace_ms", grace.count() / 1000}}; }
+std::optional<Duration> decode_leadership_record(const json& v) {
   const auto ms = count(v, "grace_ms");
   return ms ? std::optional{std::chrono::duration_cast<Duration>(std::chrono::milliseconds(*ms))} : std::nullopt;
 }
 
 // With jobs that it awaits the field has another name: a version that does not know of them would start it early.
 json encode_job_row(const Job& job) {
-  const char* name = job.spec.awaits.empty() ? "spec" : "chained";
+  const char* name = job.spec.dependencies.empty() ? "spec" : "chained";
   return {{name, encode_job(job.spec)}, {"at", job.submitted_wall_ms}};
 }
 
@@ -132,26 +132,26 @@
   if (s == nullptr) return std::nullopt;
   Job job;
   job.spec = std::move(*s);
-  job.chained = !job.spec.awaits.empty();
+  job.dependent = !job.spec.dependencies.empty();
   job.submitted_wall_ms = static_cast<std::int64_t>(number(v, "at").value_or(static_cast<double>(wall_ms)));
   job.submitted =
       now - std::chrono::duration_cast<Duration>(std::chrono::milliseconds(wall_ms - job.submitted_wall_ms));
   return job;
 }
 
-json encode_piece_names(const PieceNames& names) { return {{"pieces", {names.nonce, names.count}}}; }
+json encode_chunk_names(const ChunkNames& names) { return {{"pieces", {names.nonce, names.count}}}; }
 
-std::optional<PieceNames> decode_piece_names(const json& v) {
+std::optional<ChunkNames> decode_chunk_names(const json& v) {
   constexpr std::uint64_t most = 100'000;
   const auto& names = list(v, "pieces");
   if (names.size() != 2 || !names[0].is_string() || !names[1].is_number_unsigned()) return std::nullopt;
   if (names[1].get<std::uint64_t>() > most) return std::nullopt;
-  return PieceNames{names[0].get<std::string>(), names[1].get<std::size_t>()};
+  return ChunkNames{names[0].get<std::string>(), names[1].get<std::size_t>()};
 }
 
 // Cut as text: a name or list may be longer than any value. What JSON adds to a text's length is measured; names have
 // no bytes of more than one unit, or the encoder below would have replaced them.
-std::vector<json> encode_pieces(const json& row, std::size_t most_bytes) {
+std::vector<json> encode_chunks(const json& row, std::size_t most_bytes) {
   const std::string text = row.dump(-1, ' ', true, json::error_handler_t::replace);
   std::vector<json> out;
   for (std::size_t at = 0; at < text.size();) {
@@ -163,9 +163,9 @@
   return out;
 }
 
-json join_pieces(const std::vector<json>& pieces) {
+json join_chunks(const std::vector<json>& chunks) {
   std::string all;
-  for (const auto& p : pieces) {
+  for (const auto& p : chunks) {
     const auto t = text(p, "text");
     if (!t) return {};
     all += *t;
@@ -173,14 +173,18 @@
   return parse(all);
 }
 
-json encode_level(const LevelRow& row) { return {{"level", row.level}, {"legacy_size", row.legacy_size}}; }
-std::optional<LevelRow> decode_level(const json& v) {
-  const auto level = count(v, "level");
+json encode_format_version(const FormatVersionRow& row) {
+  return {{"level", row.format_version}, {"legacy_size", row.v1_row_size}};
+}
+std::optional<FormatVersionRow> decode_format_version(const json& v) {
+  const auto format_version = count(v, "level");
   const auto size = count(v, "legacy_size");
-  if (!level || !size || *size == 0 || *size > 100'000) return std::nullopt;
-  return LevelRow{*level, static_cast<std::uint32_t>(*size)};
+  if (!format_version || !size || *size == 0 || *size > 100'000) return std::nullopt;
+  return FormatVersionRow{*format_version, static_cast<std::uint32_t>(*size)};
+}
+json encode_node_format_version(const std::string& version) {
+  return {{"level", current_format_version}, {"version", version}};
 }
-json encode_node_level(const std::string& version) { return {{"level", this_level}, {"version", version}}; }
 
 json encode_final(const FinalJob& job) {
   return {{"phase", job.phase == JobPhase::done ? "done" : "cancelled"}, {"tasks", job.tasks}, {"done", job.done}};
@@ -197,7 +201,7 @@
 json encode_tasks(const TaskRow& row) {
   // Tasks of one zone share its name: a row of many tasks must stay within the value's size.
   std::map<std::string, json> zones;
-  for (const auto& h : row.held) {
+  for (const auto& h : row.placed) {
     auto [it, fresh] = zones.try_emplace(h.zone, json::array());
     it->second.push_back({h.index, h.attempt.value(), h.machine.value()});
   }
@@ -205,12 +209,12 @@
   for (auto& [zone, tasks] : zones) held.push_back({zone, std::move(tasks)});
   json out{{"team", row.team},
            {"need", {row.need.cpus, row.need.gpus, row.need.memory_gb}},
-           {"rank", static_cast<int>(row.rank)},
+           {"rank", static_cast<int>(row.priority)},
            {"next", row.next_attempt},
            {"done", row.done},
            {"on", std::move(held)}};
   if (row.failed > 0) out["failed"] = row.failed;
-  if (!row.legacy) out["n"] = row.size;
+  if (!row.is_v1) out["n"] = row.size;
   return out;
 }
 
@@ -228,7 +232,7 @@
   TaskRow row;
   row.job = part->job;
   row.team = text(v, "team").value_or("");
-  row.rank = static_cast<Rank>(count(v, "rank").value_or(1) & 3U);
+  row.priority = static_cast<Priority>(count(v, "rank").value_or(1) & 3U);
   row.next_attempt = *next;
   row.failed = static_cast<std::uint32_t>(std::min<std::uint64_t>(count(v, "failed").value_or(0), 100'000));
   for (const auto& n : need) {
@@ -246,8 +250,8 @@
           !t[2].is_string()) {
         return std::nullopt;
       }
-      row.held.push_back({t[0].get<std::uint32_t>(), Attempt{t[1].get<std::uint64_t>()},
-                          MachineId{t[2].get<std::string>()}, z[0].get<std::string>()});
+      row.placed.push_back({t[0].get<std::uint32_t>(), Attempt{t[1].get<std::uint64_t>()},
+                            MachineId{t[2].get<std::string>()}, z[0].get<std::string>()});
     }
   }
   return std::pair{std::move(row), part->index};
@@ -265,17 +269,17 @@
   return std::move(read->first);
 }
 
-std::optional<TaskRow> decode_legacy_tasks(const std::string& key, const json& v, std::uint32_t legacy_size) {
+std::optional<TaskRow> decode_v1_tasks(const std::string& key, const json& v, std::uint32_t v1_row_size) {
   auto read = decode_numbered(key, v);
   if (!read) return std::nullopt;
-  read->first.legacy = true;
-  read->first.first = read->second * legacy_size;
-  read->first.size = legacy_size;
+  read->first.is_v1 = true;
+  read->first.first = read->second * v1_row_size;
+  read->first.size = v1_row_size;
   return std::move(read->first);
 }
 
 // Names of images stand once in a row: machines of a fleet hold the same few.
-json encode_machines(const std::vector<MachineFacts>& facts) {
+json encode_machines(const std::vector<MachineRecord>& facts) {
   std::map<std::string, std::size_t> numbers;
   auto images = json::array();
   auto machines = json::array();
@@ -286,13 +290,13 @@
       if (fresh) images.push_back({name, gb});
       cached.push_back(it->second);
     }
-    machines.push_back({m.id.value(), m.addr, m.type, m.zone, m.spot, m.session.value(), std::move(cached)});
+    machines.push_back({m.id.value(), m.addr, m.type, m.zone, m.spot, m.incarnation.value(), std::move(cached)});
   }
   return {{"images", std::move(images)}, {"machines", std::move(machines)}};
 }
 
-std::vector<MachineFacts> decode_machines(const std::string& key, const json& v) {
-  std::vector<MachineFacts> out;
+std::vector<MachineRecord> decode_machines(const std::string& key, const json& v) {
+  std::vector<MachineRecord> out;
   constexpr std::size_t prefix = 2;
   constexpr std::size_t fields = 7;
   const auto group = parse_task_id("g/" + key.substr(std::min(key.size(), prefix)));
@@ -306,14 +310,14 @@
     const bool sound = m.is_array() && m.size() == fields && m[0].is_string() && m[1].is_string() && m[2].is_string() &&
                        m[3].is_string() && m[4].is_boolean() && m[5].is_number_unsigned() && m[6].is_array();
     if (!sound) continue;
-    MachineFacts f{MachineId{m[0].get<std::string>()},
-                   group->index,
-                   m[1],
-                   m[2],
-                   m[3],
-                   m[4].get<bool>(),
-                   Session{m[5].get<std::uint64_t>()},
-                   {}};
+    MachineRecord f{MachineId{m[0].get<std::string>()},
+                    group->index,
+                    m[1],
+                    m[2],
+                    m[3],
+                    m[4].get<bool>(),
+                    Incarnation{m[5].get<std::uint64_t>()},
+                    {}};
     for (const auto& n : m[6]) {
       if (n.is_number_unsigned() && n.get<std::size_t>() < images.size()) {
         f.images.push_back(images[n.get<std::size_t>()]);
--- a/src/wire/state_codec.hpp
+++ b/src/wire/store_codec.hpp
@@ -20,7 +20,7 @@
 struct StoreItem {
   std::string key;
   json value;
-  Stamp version;
+  KeyVersion version;
   bool removed = false;
 };
 struct StorePage {
@@ -30,7 +30,7 @@
 };
 struct Condition {
   std::string key;
-  Stamp version;
+  KeyVersion version;
 };
 struct StoreOp {
   std::string key;
@@ -46,20 +46,20 @@
 std::string encode_lease(Duration ttl);
 std::optional<LeaseId> parse_lease(const std::string& body);
 
-std::string job_key(const JobId& id, bool chained = false);
+std::string job_key(const JobId& id, bool dependent = false);
 std::string final_key(const JobId& id);
 std::string inbox_key(const JobId& id);
 // A text that sorts before the job's key and after every other job's key that does; to list from there on.
 std::string just_before_final(const JobId& id);
 std::string machines_key(std::uint32_t group);
 std::string tasks_key(const JobId& id, std::uint32_t first);
-std::string legacy_tasks_key(const JobId& id, std::uint32_t number);
-std::string node_level_key(const std::string& node);
-std::string piece_key(const JobId& id, const std::string& nonce, std::size_t n);
-constexpr const char* level_key = "level";
+std::string v1_tasks_key(const JobId& id, std::uint32_t number);
+std::string node_format_version_key(const std::string& node);
+std::string chunk_key(const JobId& id, const std::string& nonce, std::size_t n);
+constexpr const char* format_version_key = "level";
 std::string key_of(const RowKey& row);
 constexpr const char* leader_key = "lead";
-constexpr const char* reign_key = "reign";
+constexpr const char* leadership_record_key = "reign";
 constexpr const char* types_key = "types";
 
 struct LeaderRow {
@@ -67,39 +67,39 @@
 };
 json encode_leader(const LeaderRow& row);
 LeaderRow decode_leader(const json& value);
-json encode_reign(Duration grace);
-std::optional<Duration> decode_reign(const json& value);
+json encode_leadership_record(Duration grace);
+std::optional<Duration> decode_leadership_record(const json& value);
 
 // `now` and `wall_ms` are the same moment on both clocks: the store keeps times of day.
 json encode_job_row(const Job& job);
 std::optional<Job> decode_job_row(const json& value, Time now, std::int64_t wall_ms);
 // A row that is too long for one value: what stands at its key names the pieces, which stand at keys of their own.
 // Neither has a field `spec`, so that a version of level 1 leaves such a row alone.
-struct PieceNames {
+struct ChunkNames {
   std::string nonce;
   std::size_t count = 0;
 };
-json encode_piece_names(const PieceNames& names);
-std::optional<PieceNames> decode_piece_names(const json& value);
-std::vector<json> encode_pieces(const json& row, std::size_t most_bytes);
-json join_pieces(const std::vector<json>& pieces);  // null where they do not make a row
+json encode_chunk_names(const ChunkNames& names);
+std::optional<ChunkNames> decode_chunk_names(const json& value);
+std::vector<json> encode_chunks(const json& row, std::size_t most_bytes);
+json join_chunks(const std::vector<json>& chunks);  // null where they do not make a row
 
 // What a node's version reads and writes, and what all nodes are known to. It never falls.
-constexpr std::uint64_t this_level = 2;
-struct LevelRow {
-  std::uint64_t level = 1;
-  std::uint32_t legacy_size = 0;  // indices in a row by number, as long as there may be any
+constexpr std::uint64_t current_format_version = 2;
+struct FormatVersionRow {
+  std::uint64_t format_version = 1;
+  std::uint32_t v1_row_size = 0;  // indices in a row by number, as long as there may be any
 };
-json encode_level(const LevelRow& row);
-std::optional<LevelRow> decode_level(const json& value);
-json encode_node_level(const std::string& version);
+json encode_format_version(const FormatVersionRow& row);
+std::optional<FormatVersionRow> decode_format_version(const json& value);
+json encode_node_format_version(const std::string& version);
 json encode_final(const FinalJob& job);
 std::optional<FinalJob> decode_final(const JobId& id, const json& value);
 json encode_tasks(const TaskRow& row);
 std::optional<TaskRow> decode_tasks(const std::string& key, const json& value);
-std::optional<TaskRow> decode_legacy_tasks(const std::string& key, const json& value, std::uint32_t legacy_size);
-json encode_machines(const std::vector<MachineFacts>& facts);
-std::vector<MachineFacts> decode_machines(const std::string& key, const json& value);  // what can be read of it
+std::optional<TaskRow> decode_v1_tasks(const std::string& key, const json& value, std::uint32_t v1_row_size);
+json encode_machines(const std::vector<MachineRecord>& facts);
+std::vector<MachineRecord> decode_machines(const std::string& key, const json& value);  // what can be read of it
 json encode_note(const std::string& node, bool cancel);
 bool asks_to_cancel(const json& note);
 // A node that does not reach the leader tells it so how many workers it cannot hand over to it.
--- a/src/wire/user_codec.cpp
+++ b/src/wire/user_codec.cpp
@@ -57,7 +57,7 @@
 }
 
 // Null and an empty list mean that it awaits none; the same id twice counts once.
-std::vector<JobId> awaits_of(const json& o) {
+std::vector<JobId> dependencies_of(const json& o) {
   const auto* f = field(o, "awaits");
   if (f == nullptr) return {};
   if (!f->is_array()) throw Bad{"awaits"};
@@ -75,10 +75,10 @@
   JobSpec s;
   s.id = JobId{need_text(o, "ref")};
   if (!valid_job_id(s.id.value())) throw Bad{"ref"};
-  s.lane = need_text(o, "lane");
+  s.job_class = need_text(o, "lane");
   s.team = need_text(o, "crew");
-  s.shape = static_cast<Shape>(index_in(shapes, o, "shape"));
-  s.rank = static_cast<Rank>(index_in(ranks, o, "rank"));
+  s.kind = static_cast<JobKind>(index_in(shapes, o, "shape"));
+  s.priority = static_cast<Priority>(index_in(ranks, o, "rank"));
   const auto tasks = count(o, "shards");
   if (!tasks || *tasks < 1 || *tasks > max_tasks) throw Bad{"shards"};
   s.tasks = static_cast<std::uint32_t>(*tasks);
@@ -94,10 +94,10 @@
   s.spread = need_flag(o, "spread");
   s.spot = need_flag(o, "loaners");
   s.estimate_s = need_amount(o, "guessS");
-  s.checkpoint_s = need_amount(o, "markEveryS");
-  s.save_s = need_amount(o, "markCostS");
+  s.checkpoint_interval_s = need_amount(o, "markEveryS");
+  s.checkpoint_duration_s = need_amount(o, "markCostS");
   if (field(o, "dueS") != nullptr) s.deadline_s = need_amount(o, "dueS");
-  s.awaits = awaits_of(o);
+  s.dependencies = dependencies_of(o);
   return s;
 }
 
@@ -125,10 +125,10 @@
 
 json encode_job(const JobSpec& s) {
   json o{{"ref", s.id.value()},
-         {"lane", s.lane},
+         {"lane", s.job_class},
          {"crew", s.team},
-         {"shape", shapes.at(static_cast<std::size_t>(s.shape))},
-         {"rank", ranks.at(static_cast<std::size_t>(s.rank))},
+         {"shape", shapes.at(static_cast<std::size_t>(s.kind))},
+         {"rank", ranks.at(static_cast<std::size_t>(s.priority))},
          {"shards", s.tasks},
          {"cpus", s.need.cpus},
          {"accelerators", s.need.gpus},
@@ -139,12 +139,12 @@
          {"spread", s.spread},
          {"loaners", s.spot},
          {"guessS", s.estimate_s},
-         {"markEveryS", s.checkpoint_s},
-         {"markCostS", s.save_s}};
+         {"markEveryS", s.checkpoint_interval_s},
+         {"markCostS", s.checkpoint_duration_s}};
   if (s.types) o["breeds"] = *s.types;
   if (s.zone) o["yard"] = *s.zone;
   if (s.deadline_s) o["dueS"] = *s.deadline_s;
-  for (const auto& id : s.awaits) o["awaits"].push_back(id.value());
+  for (const auto& id : s.dependencies) o["awaits"].push_back(id.value());
   return o;
 }
 
@@ -153,7 +153,7 @@
             {"phase", phases.at(static_cast<std::size_t>(s.phase))},
             {"done", s.done},
             {"running", s.running}};
-  if (!s.waits.empty()) body["waits"] = s.waits;
+  if (!s.pending_reason.empty()) body["waits"] = s.pending_reason;
   return body.dump();
 }
 
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -37,25 +37,25 @@
   return ExitCause::error;
 }
 
-std::optional<TaskReport> parse_task(const json& o) {
+std::optional<TaskStatus> parse_task(const json& o) {
   const auto id = text(o, "shard");
   const auto task = id ? parse_task_id(*id) : std::nullopt;
   const auto attempt = count(o, "try");
   const auto phase = text(o, "phase");
   const auto state = phase ? state_of(*phase) : std::nullopt;
   if (!task || !attempt || !state) return std::nullopt;
-  TaskReport t{*task, Attempt{*attempt}, *state, ExitCause::none, flag(o, "saved").value_or(false)};
+  TaskStatus t{*task, Attempt{*attempt}, *state, ExitCause::none, flag(o, "saved").value_or(false)};
   if (t.state == TaskState::ended) t.cause = cause_of(text(o, "cause").value_or(""));
   return t;
 }
 
-json orders_json(const std::vector<Order>& orders) {
+json commands_json(const std::vector<Command>& commands) {
   static constexpr std::array<const char*, 3> verbs{"run", "stop", "reap"};
   auto out = json::array();
-  for (const auto& o : orders) {
+  for (const auto& o : commands) {
     json j{
         {"verb", verbs.at(static_cast<std::size_t>(o.verb))}, {"shard", to_string(o.task)}, {"try", o.attempt.value()}};
-    if (o.verb == Order::Verb::stop) j["leewayS"] = o.grace_s;
+    if (o.verb == Command::Verb::stop) j["leewayS"] = o.grace_s;
     out.push_back(std::move(j));
   }
   return out;
@@ -74,24 +74,24 @@
   return id;
 }
 
-std::optional<WorkerReport> parse_report(const std::string& body) {
+std::optional<Heartbeat> parse_heartbeat(const std::string& body) {
   const auto o = parse(body);
   const auto host = text(o, "host");
-  const auto session = count(o, "tenure");
-  const auto tick = count(o, "tick");
+  const auto incarnation = count(o, "tenure");
+  const auto sequence = count(o, "tick");
   const auto type = text(o, "breed");
   const auto zone = text(o, "yard");
-  if (!host || host->empty() || host->size() > 150 || !session || !tick || !type || !zone) return std::nullopt;
-  WorkerReport r;
+  if (!host || host->empty() || host->size() > 150 || !incarnation || !sequence || !type || !zone) return std::nullopt;
+  Heartbeat r;
   r.machine = MachineId{*host};
   r.addr = text(o, "endpoint").value_or("");
   r.type = *type;
   r.zone = *zone;
   r.spot = flag(o, "loaners").value_or(false);
-  r.session = Session{*session};
-  r.tick = Tick{*tick};
-  r.token = Token{count(o, "baton").value_or(0)};
-  r.notice_s = number(o, "recallS");
+  r.incarnation = Incarnation{*incarnation};
+  r.sequence = HeartbeatSequence{*sequence};
+  r.token = FencingToken{count(o, "baton").value_or(0)};
+  r.preemption_notice_s = number(o, "recallS");
   for (const auto& t : list(o, "shards")) {
     auto task = parse_task(t);
     // A task that can't be read might be on the machine: such a report proves nothing.
@@ -101,12 +101,12 @@
   return r;
 }
 
-std::string encode_orders(Token token, const std::vector<Order>& orders) {
-  return json{{"baton", token.value()}, {"orders", orders_json(orders)}}.dump();
+std::string encode_heartbeat_response(FencingToken token, const std::vector<Command>& commands) {
+  return json{{"baton", token.value()}, {"orders", commands_json(commands)}}.dump();
 }
 
-std::string encode_commands(Token token, Session session, const std::vector<Order>& orders) {
-  return json{{"baton", token.value()}, {"tenure", session.value()}, {"orders", orders_json(orders)}}.dump();
+std::string encode_command_batch(FencingToken token, Incarnation incarnation, const std::vector<Command>& commands) {
+  return json{{"baton", token.value()}, {"tenure", incarnation.value()}, {"orders", commands_json(commands)}}.dump();
 }
 
 std::string encode_misdirected(const std::string& leader) {
--- a/src/wire/worker_codec.hpp
+++ b/src/wire/worker_codec.hpp
@@ -9,9 +9,9 @@
 namespace martenwall::wire {
 
 std::optional<TaskId> parse_task_id(const std::string& text);
-std::optional<WorkerReport> parse_report(const std::string& body);
-std::string encode_orders(Token token, const std::vector<Order>& orders);
-std::string encode_commands(Token token, Session session, const std::vector<Order>& orders);
+std::optional<Heartbeat> parse_heartbeat(const std::string& body);
+std::string encode_heartbeat_response(FencingToken token, const std::vector<Command>& commands);
+std::string encode_command_batch(FencingToken token, Incarnation incarnation, const std::vector<Command>& commands);
 std::string encode_misdirected(const std::string& leader);
 
 }  // namespace martenwall::wire
--- a/stand_ins/rules.cpp
+++ b/stand_ins/rules.cpp
@@ -79,8 +79,8 @@
 void Rules::starts(const TaskId& task, const Place& place, Time now) {
   ++started_;
   auto& w = works_.at(task.job);
-  if (w.told_cancelled) ++started_after_cancel_;
-  for (const auto& id : w.spec.awaits) {
+  if (w.reported_cancelled) ++started_after_cancel_;
+  for (const auto& id : w.spec.dependencies) {
     if (works_.at(id).completed.size() != works_.at(id).spec.tasks) breach("too early " + to_string(task), now);
   }
   auto& holders = on_[task.job][task.index];
@@ -88,14 +88,14 @@
     breach("ran_twice " + to_string(task) + " on " + machine.value() + " and " + place.machine.value(), now);
   }
   check_place(task, place, now);
-  if (w.spec.shape == Shape::array && !w.begun && w.begun_tasks.insert(task.index).second &&
+  if (w.spec.kind == JobKind::array && !w.begun && w.begun_tasks.insert(task.index).second &&
       w.begun_tasks.size() == w.spec.tasks) {
     w.begun = now;
     w.begun_tasks.clear();
   }
   if (holders.emplace(place.machine, place.zone).second) used_[w.spec.team].add(w.spec.need);
   check_limit(w.spec.team, now);
-  if (w.told_cancelled && now - *w.told_cancelled > seconds(terms_.cancel_s)) {
+  if (w.reported_cancelled && now - *w.reported_cancelled > seconds(terms_.cancel_s)) {
     breach("ran_cancelled " + to_string(task) + " starts on " + place.machine.value(), now);
   }
 }
@@ -158,7 +158,7 @@
 // Its own user, or that of a job that it awaits, directly or through others.
 bool Rules::asked_to_cancel(const JobId& id) const {
   const auto& w = works_.at(id);
-  return w.cancel_asked || std::ranges::any_of(w.spec.awaits, [&](const JobId& a) { return asked_to_cancel(a); });
+  return w.cancel_asked || std::ranges::any_of(w.spec.dependencies, [&](const JobId& a) { return asked_to_cancel(a); });
 }
 
 void Rules::told(const JobId& id, const std::string& phase, Ordinal sent, Time now) {
@@ -168,35 +168,35 @@
   const Ordinal heard = ++order_;
   if (!w.accepted) {
     w.accepted = now;
-    w.heard_accepted = heard;
+    w.acceptance_seen = heard;
   }
-  const bool was_done = w.told_done && sent > w.heard_end;
-  const bool was_cancelled = w.told_cancelled && sent > w.heard_end;
+  const bool was_done = w.reported_done && sent > w.end_seen;
+  const bool was_cancelled = w.reported_cancelled && sent > w.end_seen;
   if (was_done && phase != "done") breach("went_back " + id.value() + ": done, then " + phase, now);
   if (was_cancelled && phase != "withdrawn") breach("went_back " + id.value() + ": withdrawn, then " + phase, now);
   if (phase == "done") {
     if (w.completed.size() != w.spec.tasks) breach("not_done " + id.value(), now);
-    news = news || !w.told_done;
-    if (!w.told_done) w.told_done = now;
+    news = news || !w.reported_done;
+    if (!w.reported_done) w.reported_done = now;
   }
   if (phase == "withdrawn") {
     if (!asked_to_cancel(id)) breach("went_back " + id.value() + ": cancelled by no one", now);
-    news = news || !w.told_cancelled;
-    if (!w.told_cancelled) w.told_cancelled = now;
+    news = news || !w.reported_cancelled;
+    if (!w.reported_cancelled) w.reported_cancelled = now;
   }
-  if (w.heard_end == 0 && (w.told_done || w.told_cancelled)) w.heard_end = heard;
+  if (w.end_seen == 0 && (w.reported_done || w.reported_cancelled)) w.end_seen = heard;
   // An end is for good, whichever question was sent first.
-  if (w.told_done && w.told_cancelled) breach("went_back " + id.value() + ": both done and withdrawn", now);
+  if (w.reported_done && w.reported_cancelled) breach("went_back " + id.value() + ": both done and withdrawn", now);
   if (news && on_news) on_news(id);
 }
 
 void Rules::refused_forever(const JobId& id, int status, Ordinal sent, Time now) {
   auto& w = works_.at(id);
   w.answered = now;
-  if (w.accepted && sent > w.heard_accepted) breach("forgotten " + id.value() + ": " + std::to_string(status), now);
+  if (w.accepted && sent > w.acceptance_seen) breach("forgotten " + id.value() + ": " + std::to_string(status), now);
 }
 
-void Rules::told_of_unknown(const JobId& id, Time now) { breach("invented " + id.value(), now); }
+void Rules::on_unknown_job_known(const JobId& id, Time now) { breach("invented " + id.value(), now); }
 
 void Rules::finish(Time now) {
   if (started_ == 0) breach("nothing_ran", now);
@@ -205,7 +205,7 @@
 void Rules::tick(Time now) {
   for (const auto& [id, tasks] : on_) {
     const auto& w = works_.at(id);
-    if (!w.told_cancelled || now - *w.told_cancelled <= seconds(terms_.cancel_s)) continue;
+    if (!w.reported_cancelled || now - *w.reported_cancelled <= seconds(terms_.cancel_s)) continue;
     for (const auto& [index, holders] : tasks) {
       for (const auto& [machine, zone] : holders) {
         breach("ran_cancelled " + to_string(TaskId{id, index}) + " on " + machine.value(), now);
@@ -214,7 +214,7 @@
   }
   if (!calm_since_) return;
   for (auto& [id, w] : works_) {
-    const bool over = w.told_done || w.told_cancelled;
+    const bool over = w.reported_done || w.reported_cancelled;
     if (over || !w.accepted) continue;
     const Time since = std::max(w.answered, *calm_since_);
     if (now - since > longest_unanswered) {
--- a/stand_ins/rules.hpp
+++ b/stand_ins/rules.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "core/model.hpp"
-#include "core/policy.hpp"
+#include "core/model/model.hpp"
+#include "core/model/policy.hpp"
 
 namespace martenwall::stand_ins {
 
@@ -25,8 +25,8 @@
   std::set<std::uint32_t> completed;    // tasks
   std::set<std::uint32_t> begun_tasks;  // of an array: ran once
   Time submitted{};
-  std::optional<Time> accepted, cancel_asked, told_done, told_cancelled;
-  Ordinal heard_accepted = 0, heard_end = 0;
+  std::optional<Time> accepted, cancel_asked, reported_done, reported_cancelled;
+  Ordinal acceptance_seen = 0, end_seen = 0;
   Time answered{};                  // the last answer to any question about it
   std::optional<Time> beside_room;  // waits since then, and could have begun
   std::optional<Time> begun;        // all its tasks ran, or of a gang run
@@ -57,7 +57,7 @@
   void told(const JobId& id, const std::string& phase, Ordinal sent, Time now);
   void refused_forever(const JobId& id, int status, Ordinal sent, Time now);
   // 200 for a job that nobody submitted.
-  void told_of_unknown(const JobId& id, Time now);
+  void on_unknown_job_known(const JobId& id, Time now);
   // From `now` on these limits are asked for; a start may go by the ones before for `in_force`.
   void change_limits(std::vector<Team> teams, Time now, Duration in_force);
   // The day is over.
@@ -68,7 +68,7 @@
   [[nodiscard]] bool within_limit(const JobId& id, std::uint32_t more_tasks) const;
   [[nodiscard]] std::set<std::uint32_t> on_machines(const JobId& id) const;  // tasks
   void tick(Time now);                                                       // what is on a machine too long
-  void all_troubles_over(Time now) { calm_since_ = now; }
+  void all_faults_over(Time now) { calm_since_ = now; }
 
   [[nodiscard]] const std::vector<std::string>& breaches() const { return breaches_; }
   [[nodiscard]] std::size_t started() const { return started_; }
--- a/stand_ins/worker_model.cpp
+++ b/stand_ins/worker_model.cpp
@@ -90,7 +90,7 @@
 void WorkerModel::restart(Time now) {
   forget_all();
   images_.clear();
-  ++session_;
+  ++incarnation_;
   last_ok_ = now;
   changed_ = true;
 }
@@ -108,7 +108,7 @@
               {"breed", traits_.type},
               {"yard", traits_.zone},
               {"loaners", traits_.spot},
-              {"tenure", session_},
+              {"tenure", incarnation_},
               {"tick", ++tick_},
               {"baton", token_},
               {"recallS", nullptr},
@@ -116,8 +116,8 @@
       .dump();
 }
 
-bool WorkerModel::take_answer(const json& body, std::uint64_t session, Time sent, Time now) {
-  if (gone_ || session != session_ || !body.is_object() || !body.contains("baton")) return false;
+bool WorkerModel::take_answer(const json& body, std::uint64_t incarnation, Time sent, Time now) {
+  if (gone_ || incarnation != incarnation_ || !body.is_object() || !body.contains("baton")) return false;
   const auto token = body.at("baton").get<std::uint64_t>();
   if (token < token_) return false;
   if (token > token_) changed_ = true;
@@ -130,13 +130,13 @@
 WorkerModel::Reply WorkerModel::commands(const json& body, Time now) {
   if (!body.is_object() || !body.contains("baton") || !body.contains("tenure")) return {400, "{}", false};
   const auto token = body.at("baton").get<std::uint64_t>();
-  const bool stale = token < token_ || body.at("tenure").get<std::uint64_t>() != session_;
+  const bool needs_cycle = token < token_ || body.at("tenure").get<std::uint64_t>() != incarnation_;
   if (token > token_) {
     token_ = token;
     changed_ = true;
   }
-  if (!stale) execute(body.at("orders"), now);
-  return {stale ? 409 : 200, report(), !stale};
+  if (!needs_cycle) execute(body.at("orders"), now);
+  return {needs_cycle ? 409 : 200, report(), !needs_cycle};
 }
 
 void WorkerModel::execute(const json& orders, Time now) {
@@ -170,7 +170,7 @@
     refuse("full");
   } else {
     t.until = images_.ready_at(work->spec, now, [&] { return seconds(world_.fetch_s(work->spec)); });
-    if (work->spec.shape == Shape::gang) ++gang_tasks_;
+    if (work->spec.kind == JobKind::gang) ++gang_tasks_;
   }
   tasks_.emplace(key, t);
 }
@@ -179,7 +179,7 @@
   const bool fetching = t.phase == Phase::fetching;
   const bool was_on = !fetching && t.phase != Phase::ended;
   const auto& spec = spec_of(key);
-  if (t.phase != Phase::ended && spec.shape == Shape::gang) --gang_tasks_;
+  if (t.phase != Phase::ended && spec.kind == JobKind::gang) --gang_tasks_;
   t.phase = Phase::ended;
   t.cause = cause;
   changed_ = true;
@@ -194,17 +194,18 @@
 void WorkerModel::stop_task(OnMachine& t, const Key& key, double grace_s, Time now) {
   if (t.phase == Phase::ended || (t.phase == Phase::saving && grace_s > 0)) return;
   const auto& spec = spec_of(key);
-  const bool saves = t.phase == Phase::running && spec.checkpoint_s > 0 && grace_s >= spec.save_s;
+  const bool saves =
+      t.phase == Phase::running && spec.checkpoint_interval_s > 0 && grace_s >= spec.checkpoint_duration_s;
   if (!saves) return end_task(t, key, "stopped", now);
   t.phase = Phase::saving;
-  t.until = now + seconds(spec.save_s);
+  t.until = now + seconds(spec.checkpoint_duration_s);
   changed_ = true;
 }
 
 void WorkerModel::step_task(const Key& key, OnMachine& t, Time now) {
   if (t.phase == Phase::ended) return;
   const auto& work = world_.rules.work(key.first.job);
-  const bool gang = work.spec.shape == Shape::gang;
+  const bool gang = work.spec.kind == JobKind::gang;
   if (t.phase == Phase::fetching && now >= t.until) {
     t.phase = gang ? Phase::gathering : Phase::running;
     t.since = now;
@@ -231,7 +232,7 @@
   if (now - last_ok_ > seconds(world_.terms.lease_s)) {
     lost_to_lease_ += tasks_.size();
     forget_all();
-    ++session_;
+    ++incarnation_;
     last_ok_ = now;
     changed_ = true;
   }
@@ -241,7 +242,7 @@
 
 // ---- reports ----
 
-bool ReportRoute::follow(int status, const json& body, const std::vector<std::string>& controllers, Time now) {
+bool HeartbeatRoute::follow(int status, const json& body, const std::vector<std::string>& controllers, Time now) {
   if (status == 200) return true;
   if (status == 421 && body.is_object() && body.contains("steward")) {
     const auto named = std::ranges::find(controllers, body.at("steward").get<std::string>());
@@ -271,7 +272,7 @@
     if (w->gang_tasks_ == 0) continue;
     for (auto& [key, t] : w->tasks_) {
       if (t.phase == Phase::ended || t.phase == Phase::fetching) continue;
-      if (w->spec_of(key).shape == Shape::gang) gangs[{key.first.job, key.second}].push_back({w, key, &t});
+      if (w->spec_of(key).kind == JobKind::gang) gangs[{key.first.job, key.second}].push_back({w, key, &t});
     }
   }
   for (auto& [gang, members] : gangs) {
--- a/stand_ins/worker_model.hpp
+++ b/stand_ins/worker_model.hpp
@@ -57,7 +57,7 @@
   // The body of a report, or of an answer to a command.
   [[nodiscard]] std::string report();
   // A controller's answer with 200 to a report of that session, sent then; false where it is dropped.
-  bool take_answer(const nlohmann::json& body, std::uint64_t session, Time sent, Time now);
+  bool take_answer(const nlohmann::json& body, std::uint64_t incarnation, Time sent, Time now);
   struct Reply {
     int status = 200;
     std::string body;
@@ -75,7 +75,7 @@
   [[nodiscard]] bool busy() const;
   [[nodiscard]] Resources free() const;
   [[nodiscard]] bool has(const JobId& job) const;  // a task of it, in any state but ended
-  [[nodiscard]] std::uint64_t session() const { return session_; }
+  [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
   [[nodiscard]] std::uint64_t token() const { return token_; }
   [[nodiscard]] std::size_t lost_to_lease() const { return lost_to_lease_; }  // tasks
 
@@ -103,7 +103,7 @@
   MachineTraits traits_;
   Time boots_;
   bool gone_ = false;
-  std::uint64_t session_ = 1, tick_ = 0, token_ = 0;
+  std::uint64_t incarnation_ = 1, tick_ = 0, token_ = 0;
   Time last_ok_{};
   bool changed_ = false;
   ImageCache images_;
@@ -113,7 +113,7 @@
 };
 
 // Where a worker reports to, and when next.
-struct ReportRoute {
+struct HeartbeatRoute {
   std::size_t target = 0;  // of the controllers
   Time next_report{};
   // PROTOCOL's table of responses; `status` 0: none in time. True for a 200, which the worker itself may still drop.
--- a/tests/architecture_test.cpp
+++ b/tests/architecture_test.cpp
@@ -44,7 +44,8 @@
     if (!package.is_directory()) continue;  // main.cpp may include all
     const auto name = package.path().filename().string();
     ASSERT_TRUE(allowed().contains(name)) << "a new package: add it here, to README's layout and docs/architecture.md";
-    for (const auto& file : std::filesystem::directory_iterator{package}) {
+    for (const auto& file : std::filesystem::recursive_directory_iterator{package}) {
+      if (!file.is_regular_file()) continue;
       ++files;
       for (const auto& used : packages_included_by(file.path())) {
         EXPECT_TRUE(used == name || allowed().at(name).contains(used)) << file.path() << " includes " << used;
--- a/tests/fleet_size_test.cpp
+++ b/tests/capacity_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <tuple>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 
 namespace martenwall {
 namespace {
@@ -17,37 +17,37 @@
   std::vector<std::string> log;
   Scheduler s;
 
-  Hall() : s(setup(), [this](const std::string& line) { log.push_back(line); }) {
+  Hall() : s(options(), [this](const std::string& line) { log.push_back(line); }) {
     s.set_types({{"g", {48, 4, 288}, 50, 1, 10, 3, 40, {"a", "b"}}});
   }
-  static Scheduler::Setup setup() {
-    Scheduler::Setup u;
+  static Scheduler::Options options() {
+    Scheduler::Options u;
     u.terms = {3, 19, 50, 4, 39};
     u.teams = {{"red", {0, 4, 0}, {0, 1e6, 0}}};
-    u.token = Token{50};
+    u.token = FencingToken{50};
     return u;
   }
-  static WorkerReport report(const std::string& id, std::uint64_t tick, std::uint64_t session = 1) {
-    WorkerReport r;
+  static Heartbeat report(const std::string& id, std::uint64_t sequence, std::uint64_t incarnation = 1) {
+    Heartbeat r;
     r.machine = MachineId{id};
     r.addr = std::string{"10.0.0.9:1"};
     r.type = std::string{"g"};
     r.zone = std::string{"a"};
-    r.session = Session{session};
-    r.tick = Tick{tick};
-    r.token = Token{50};
+    r.incarnation = Incarnation{incarnation};
+    r.sequence = HeartbeatSequence{sequence};
+    r.token = FencingToken{50};
     return r;
   }
-  std::vector<Order> beat(const WorkerReport& r) {
-    auto orders = s.on_report(r, ReportSource::beat, now, true);
-    s.answered(r.machine, now);
-    return orders;
+  std::vector<Command> beat(const Heartbeat& r) {
+    auto commands = s.on_heartbeat(r, StatusSource::heartbeat, now, true);
+    s.on_heartbeat_answered(r.machine, now);
+    return commands;
   }
   void rounds_for(double s_long) {
-    for (const Time until = now + seconds(s_long); now < until; now += seconds(0.5)) s.round(now);
+    for (const Time until = now + seconds(s_long); now < until; now += seconds(0.5)) s.run_cycle(now);
   }
   void list(const std::string& id, ListedMachine::Phase phase) {
-    s.on_list({{MachineId{id}, "10.0.0.9:1", "g", "a", false, phase, 500}}, now, seconds(3), now);
+    s.on_machine_list({{MachineId{id}, "10.0.0.9:1", "g", "a", false, phase, 500}}, now, seconds(3), now);
   }
   [[nodiscard]] MachinePhase phase(const std::string& id) const { return s.machines().at(MachineId{id}).phase(); }
   [[nodiscard]] std::size_t logged(const std::string& text) const {
@@ -76,17 +76,18 @@
 
 // At four times the size hires waited a minute in a line of hundreds, half of them for kinds refused meanwhile.
 TEST(fleet_at_size, hires_wait_in_a_short_line_and_the_most_urgent_go_first) {
-  auto setup = Hall::setup();
-  setup.hires_in_line = 3;
-  Scheduler s{setup, [](const std::string&) {}};
+  auto options = Hall::options();
+  options.max_pending_scale_outs = 3;
+  Scheduler s{options, [](const std::string&) {}};
   s.set_types({{"g", {48, 4, 288}, 50, 1, 10, 3, 40, {"a", "b"}}});
   const Time now{seconds(1000)};
-  for (const auto& [id, rank, zone] : {std::tuple{"wide", Rank::normal, "a"}, std::tuple{"urgent", Rank::high, "b"}}) {
+  for (const auto& [id, priority, zone] :
+       {std::tuple{"wide", Priority::normal, "a"}, std::tuple{"urgent", Priority::high, "b"}}) {
     Job job;
     job.spec.id = JobId{id};
     job.spec.team = std::string{"red"};
-    job.spec.shape = Shape::array;
-    job.spec.rank = rank;
+    job.spec.kind = JobKind::array;
+    job.spec.priority = priority;
     job.spec.tasks = 1000;
     job.spec.need = {40, 4, 200};
     job.spec.estimate_s = 100;
@@ -94,15 +95,15 @@
     job.submitted = job.waiting_since = now;
     s.add_job(job, now);
   }
-  s.round(now);
-  auto first = s.take_hires();
+  s.run_cycle(now);
+  auto first = s.take_scale_out_requests();
   ASSERT_EQ(3U, first.size());
   for (const auto& h : first) EXPECT_EQ("b", h.zone);
-  s.round(now + seconds(5));
-  EXPECT_TRUE(s.take_hires().empty()) << "none of the three was answered";
-  s.on_refused(first[0], now + seconds(6));
-  s.round(now + seconds(6));
-  const auto next = s.take_hires();
+  s.run_cycle(now + seconds(5));
+  EXPECT_TRUE(s.take_scale_out_requests().empty()) << "none of the three was answered";
+  s.on_scale_out_refused(first[0], now + seconds(6));
+  s.run_cycle(now + seconds(6));
+  const auto next = s.take_scale_out_requests();
   ASSERT_EQ(1U, next.size());
   EXPECT_EQ("a", next[0].zone) << "the refused kind is left alone for a while";
 }
@@ -135,17 +136,17 @@
     for (std::uint32_t t = 0; t < tasks; ++t) {
       r.tasks.push_back({TaskId{JobId{"job-unknown"}, t}, Attempt{1}, TaskState::running, ExitCause::none, false});
     }
-    const auto orders = h.beat(r);
-    ASSERT_LE(orders.size(), 300U);
-    ASSERT_GE(orders.size(), 1U);
-    for (const auto& o : orders) ASSERT_EQ(Order::Verb::stop, o.verb);
+    const auto commands = h.beat(r);
+    ASSERT_LE(commands.size(), 300U);
+    ASSERT_GE(commands.size(), 1U);
+    for (const auto& o : commands) ASSERT_EQ(Command::Verb::stop, o.verb);
   }
   EXPECT_EQ(3000U, h.s.machines().size());
   // What was beyond the first answer comes with the next ones: everything is stopped in the end.
   std::set<std::uint32_t> left;
   for (std::uint32_t t = 0; t < 900; ++t) left.insert(t);
-  for (std::uint64_t tick = 2; tick < 8 && !left.empty(); ++tick) {
-    auto r = Hall::report("i-0", tick);
+  for (std::uint64_t sequence = 2; sequence < 8 && !left.empty(); ++sequence) {
+    auto r = Hall::report("i-0", sequence);
     for (const auto t : left) {
       r.tasks.push_back({TaskId{JobId{"job-unknown"}, t}, Attempt{1}, TaskState::running, ExitCause::none, false});
     }
@@ -159,7 +160,7 @@
   h.beat(Hall::report("i-1", 1));
   h.list("i-1", ListedMachine::Phase::running);
   h.now += seconds(1);
-  h.s.on_list({}, h.now, seconds(3), h.now);
+  h.s.on_machine_list({}, h.now, seconds(3), h.now);
   EXPECT_TRUE(h.s.machines().contains(MachineId{"i-1"}));
   h.list("i-1", ListedMachine::Phase::booting);
   EXPECT_EQ(MachinePhase::up, h.phase("i-1"));
@@ -172,7 +173,7 @@
   r.tasks.push_back({TaskId{JobId{"job-unknown"}, 0}, Attempt{1}, TaskState::running, ExitCause::none, false});
   EXPECT_EQ(1U, h.beat(r).size());
   EXPECT_EQ(1U, h.beat(r).size());
-  r.tick = Tick{4};
+  r.sequence = HeartbeatSequence{4};
   EXPECT_TRUE(h.beat(r).empty());
 }
 
@@ -180,22 +181,22 @@
 // for ever, and nothing was hired in the other.
 TEST(fleet_size, a_gang_that_is_to_be_spread_gets_machines_in_another_zone) {
   Hall h;
-  for (int i = 0; i < 4; ++i) h.s.on_report(Hall::report(machine(i), 1), ReportSource::beat, h.now, true);
-  for (const Shape shape : {Shape::gang, Shape::array}) {
+  for (int i = 0; i < 4; ++i) h.s.on_heartbeat(Hall::report(machine(i), 1), StatusSource::heartbeat, h.now, true);
+  for (const JobKind kind : {JobKind::gang, JobKind::array}) {
     Job j;
-    j.spec.id = JobId{shape == Shape::gang ? "job-1" : "job-2"};
+    j.spec.id = JobId{kind == JobKind::gang ? "job-1" : "job-2"};
     j.spec.team = "red";
-    j.spec.shape = shape;
+    j.spec.kind = kind;
     j.spec.tasks = 3;
     j.spec.need = {1, 4, 1};
     j.spec.spread = true;
     j.submitted = h.now;
     h.s.add_job(std::move(j), h.now);
-    h.s.round(h.now);
+    h.s.run_cycle(h.now);
     h.now += seconds(1);
   }
   std::uint32_t hired = 0;
-  for (const auto& request : h.s.take_hires()) {
+  for (const auto& request : h.s.take_scale_out_requests()) {
     EXPECT_EQ("b", request.zone);
     hired += request.count;
   }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -7,7 +7,7 @@
 #include <sstream>
 
 #include "config/settings.hpp"
-#include "core/heuristic_table.hpp"
+#include "core/placement/heuristic_table.hpp"
 
 namespace martenwall::config {
 namespace {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -238,7 +238,7 @@
 TEST(configuration, a_gang_beyond_the_limit_is_stopped_whole) {
   Region r{204, {}};
   JobSpec gang;
-  gang.shape = Shape::gang;
+  gang.kind = JobKind::gang;
   gang.tasks = 3;
   gang.need = {1, 4, 8};
   ASSERT_TRUE(r.run_until(20, [&] { return r.leader().has_value(); }));
@@ -251,7 +251,7 @@
   EXPECT_EQ("needs more than the limit of team red", json::parse(status.body).value("waits", ""));
   r.rules().change_limits({{"red", {0, 16, 0}, {0, 1000, 0}}}, r.now(), in_force);
   ASSERT_EQ(200, r.configure(*r.leader(), change({{"teams", nullptr}}))->status);
-  r.rules().all_troubles_over(r.now());
+  r.rules().all_faults_over(r.now());
   EXPECT_TRUE(r.run_until(200, [&] { return r.all_over(); }));
   EXPECT_EQ("", r.breaches());
 }
@@ -360,14 +360,14 @@
   Region& r = b.r;
   ASSERT_EQ(200, r.configure(b.old, change(red(999)))->status);
   const auto cut = r.others_of(b.old, 1);
-  r.store().trouble(cut).refuses_until = r.now() + seconds(20);
+  r.store().faults(cut).refuses_until = r.now() + seconds(20);
   ASSERT_EQ(200, r.configure(b.old, change({{"teams", {{"green", {{"gpus_max", 4}}}}}}))->status);
   JobSpec spec;
   spec.id = JobId{"job-900001"};
   spec.team = "green";
   spec.tasks = 1;
   spec.need = {1, 1, 8};
-  spec.lane = "x";
+  spec.job_class = "x";
   spec.image = "img";
   const std::string body = wire::encode_job(spec).dump();
   r.run(5.5);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -4,10 +4,10 @@
 #include <map>
 #include <set>
 
-#include "core/heuristics.hpp"
-#include "core/model.hpp"
-#include "core/return_times.hpp"
-#include "core/write_queue.hpp"
+#include "core/leadership/retry_after.hpp"
+#include "core/model/model.hpp"
+#include "core/persistence/write_queue.hpp"
+#include "core/placement/heuristics.hpp"
 
 namespace martenwall {
 namespace {
@@ -37,7 +37,7 @@
       if (const auto next = job.next_pending()) job.take(*next, MachineId{"m"});
     } else if (job.placed.contains(index)) {
       if (what % 3 == 1) {
-        job.give_back(index);
+        job.return_to_pending(index);
       } else {
         job.done.insert(index);
         job.placed.erase(index);
@@ -60,7 +60,7 @@
 
 TEST(machine, once_releasing_never_serves_again) {
   Machine m{MachineId{"i-1"}};
-  m.seen = true;
+  m.has_reported = true;
   EXPECT_TRUE(m.enter(MachinePhase::up, Time{}));
   EXPECT_TRUE(m.takes_starts());
   EXPECT_TRUE(m.enter(MachinePhase::releasing, Time{}));
@@ -92,7 +92,7 @@
   Job early, late;
   MachineType type{"g", {8, 2, 64}, 50, 1, 10, 3, 40, {"a"}};
   Machine one{MachineId{"i-1"}}, two{MachineId{"i-2"}};
-  Board board{Time{seconds(1000)}, policy, {}, {}};
+  PlacementProblem problem{Time{seconds(1000)}, policy, {}, {}};
   Two() {
     for (auto* j : {&early, &late}) {
       j->spec.need = {1, 1, 1};
@@ -101,32 +101,32 @@
       j->spec.tasks = 4;
       j->submitted = j->waiting_since = Time{seconds(900)};
       j->spec.estimate_s = 100;
-      board.rows.push_back({j, 4, false, 100});
+      problem.jobs.push_back({j, 4, false, 100});
     }
     early.spec.deadline_s = 1000;
     late.spec.deadline_s = 210;  // Extime is 200: nearly late
-    for (auto* j : {&early, &late}) j->set_own_urgency();
-    board.add({&one, &type, type.room, 10, Rank::best_effort});
-    board.add({&two, &type, type.room, 10, Rank::best_effort});
+    for (auto* j : {&early, &late}) j->reset_urgency();
+    problem.add({&one, &type, type.room, 10, Priority::best_effort});
+    problem.add({&two, &type, type.room, 10, Priority::best_effort});
   }
 };
 
 TEST(heuristics, the_deadline_curve_weighs_most) {
   Two t;
-  Matrix m{2, 2};
-  heuristics::minimal_requirements(t.board, m);
-  heuristics::deadline(t.board, m);
+  ScoreMatrix m{2, 2};
+  heuristics::minimal_requirements(t.problem, m);
+  heuristics::deadline(t.problem, m);
   EXPECT_NEAR(t.policy.deadline_min, m.at(0, 0), 1e-9);
   EXPECT_GT(m.at(1, 0), 9.0);
   const auto& p = t.policy;
-  EXPECT_GT(p.deadline_max, std::max({p.wait_weight, p.input_weight, p.aging_cap, 3 * p.rank_weight, p.guarantee_weight,
-                                      p.packing_weight}));
+  EXPECT_GT(p.deadline_max, std::max({p.wait_weight, p.input_weight, p.aging_cap, 3 * p.priority_weight,
+                                      p.guarantee_weight, p.packing_weight}));
 }
 
 TEST(heuristics, a_machine_with_the_image_is_preferred) {
   Two t;
   t.two.touch_image(t.early.image, 5, 50);
-  const auto m = build_matrix(t.board);
+  const auto m = build_scores(t.problem);
   EXPECT_GT(m.at(0, 1), m.at(0, 0));
 }
 
@@ -135,17 +135,17 @@
 TEST(heuristics, milliseconds_of_idleness_choose_no_machine) {
   for (const double first : {0.0, 0.1}) {
     Two t;
-    t.board.idle_grain_s = 3;
+    t.problem.idle_granularity_s = 3;
     t.one.idle_since = Time{seconds(990 + first)};
     t.two.idle_since = Time{seconds(990.1 - first)};
-    const Matrix m = build_matrix(t.board);
+    const ScoreMatrix m = build_scores(t.problem);
     EXPECT_DOUBLE_EQ(m.at(0, 0), m.at(0, 1));
   }
   Two t;
-  t.board.idle_grain_s = 3;
+  t.problem.idle_granularity_s = 3;
   t.one.idle_since = Time{seconds(950)};
   t.two.idle_since = Time{seconds(990)};
-  const Matrix m = build_matrix(t.board);
+  const ScoreMatrix m = build_scores(t.problem);
   EXPECT_LT(m.at(0, 0), m.at(0, 1));  // the one that idled longer is left to go back
 }
 
@@ -153,7 +153,7 @@
 RC_GTEST_PROP(return_times, no_second_is_promised_to_more_than_it_takes, (const std::vector<std::uint8_t>& gaps)) {
   const int rate = *rc::gen::inRange(1, 50);
   const int most = *rc::gen::inRange(1, 30);
-  ReturnTimes times{static_cast<double>(rate), most};
+  RetryAfterPacer times{static_cast<double>(rate), most};
   Time now{seconds(5)};
   std::map<long, int> told;
   bool full = false;
@@ -169,7 +169,7 @@
 }
 
 TEST(return_times, one_that_is_refused_alone_returns_at_once_and_a_rush_is_shared_out) {
-  ReturnTimes times{10, 8};
+  RetryAfterPacer times{10, 8};
   EXPECT_EQ(1, times.next(Time{seconds(1)}));
   EXPECT_EQ(1, times.next(Time{seconds(5)}));
   std::map<int, int> told;
@@ -181,8 +181,8 @@
 TEST(heuristics, a_reserved_machine_fits_only_its_job) {
   Two t;
   t.one.reserved_for = JobId{"job-other"};
-  t.one.reserved_until = t.board.now + seconds(5);
-  const auto m = build_matrix(t.board);
+  t.one.reserved_until = t.problem.now + seconds(5);
+  const auto m = build_scores(t.problem);
   EXPECT_FALSE(m.allowed(0, 0));
   EXPECT_TRUE(m.allowed(0, 1));
 }
@@ -197,8 +197,8 @@
   const auto most = *rc::gen::inRange<std::size_t>(1, 40);
   WriteQueue q;
   const Time now{seconds(100)};
-  for (int i = 0; i < guests; ++i) q.add(row_of(i), now - seconds(50), Urgency::borrowed);
-  for (int i = 0; i < others; ++i) q.add(row_of(1000 + i), now, Urgency::awaited);
+  for (int i = 0; i < guests; ++i) q.add(row_of(i), now - seconds(50), WritePriority::best_effort);
+  for (int i = 0; i < others; ++i) q.add(row_of(1000 + i), now, WritePriority::foreground);
   const auto taken = q.take(most, true, now);
   const auto n = static_cast<std::size_t>(
       std::ranges::count_if(taken, [](const RowKey& k) { return k.id.size() == row_of(1000).id.size(); }));
@@ -220,7 +220,7 @@
     now += seconds(0.1);
     if (step % 3 == 0) {
       const Time due = now + seconds(step % 5);
-      q.add(key, due, static_cast<Urgency>(step % 2));
+      q.add(key, due, static_cast<WritePriority>(step % 2));
       const auto [it, fresh] = wanted.emplace(key, due);
       if (!fresh) it->second = std::min(it->second, due);
     } else if (step % 3 == 1) {
@@ -233,7 +233,7 @@
       q.done(key);
       under_way.erase(key);
     }
-    RC_ASSERT(q.waits(key) == (wanted.contains(key) || under_way.contains(key)));
+    RC_ASSERT(q.contains(key) == (wanted.contains(key) || under_way.contains(key)));
   }
 }
 
--- a/tests/chains_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 #include "worker_reports.hpp"
 
 namespace martenwall {
@@ -14,30 +14,30 @@
   Scheduler s;
   std::map<JobId, JobPhase> ends;  // in the store
 
-  Chain() : s(setup(), [this](const std::string& line) { lines.push_back(line); }) {
+  Chain() : s(options(), [this](const std::string& line) { lines.push_back(line); }) {
     s.set_types({{"g", {8, 4, 64}, 50, 1, 10, 3, 40, {"a"}}});
   }
-  static Scheduler::Setup setup() {
-    Scheduler::Setup u;
+  static Scheduler::Options options() {
+    Scheduler::Options u;
     u.terms = {3, 19, 50, 4, 39};
     u.teams = {{"red", {0, 4, 0}, {0, 40, 0}}, {"wide", {}, {0, 1e6, 0}}};
-    u.token = Token{50};
+    u.token = FencingToken{50};
     return u;
   }
-  Job job(int n, const std::vector<int>& awaits, double gpus = 1) const {
+  Job job(int n, const std::vector<int>& dependencies, double gpus = 1) const {
     Job j;
     j.spec.id = id(n);
     j.spec.team = "red";
-    j.spec.lane = "x";
+    j.spec.job_class = "x";
     j.spec.need = {1, gpus, 1};
     j.spec.image = "img";
-    for (const int a : awaits) j.spec.awaits.push_back(id(a));
-    j.chained = !awaits.empty();
+    for (const int a : dependencies) j.spec.dependencies.push_back(id(a));
+    j.dependent = !dependencies.empty();
     j.submitted = now;
     return j;
   }
   static JobId id(int n) { return JobId{"job-" + std::to_string(n)}; }
-  void add(int n, const std::vector<int>& awaits, double gpus = 1) { s.add_job(job(n, awaits, gpus), now); }
+  void add(int n, const std::vector<int>& dependencies, double gpus = 1) { s.add_job(job(n, dependencies, gpus), now); }
   JobPhase phase(int n) const {
     const auto* j = s.find_job(id(n));
     return j == nullptr ? ends.at(id(n)) : j->phase;
@@ -47,22 +47,22 @@
     for (const auto& w : rows) {
       if (w.final_job) ends[w.final_job->id] = w.final_job->phase;
     }
-    s.stored(rows, now);
+    s.on_rows_stored(rows, now);
   }
   void store_all() {
     for (auto rows = take(); !rows.empty(); rows = take()) store(rows);
   }
-  void report(std::vector<TaskReport> tasks) {
-    auto r = report_of("i-1", Tick{++tick_});
+  void report(std::vector<TaskStatus> tasks) {
+    auto r = report_of("i-1", HeartbeatSequence{++tick_});
     r.tasks = std::move(tasks);
-    s.on_report(r, ReportSource::beat, now, true);
-    s.answered(r.machine, now);
+    s.on_heartbeat(r, StatusSource::heartbeat, now, true);
+    s.on_heartbeat_answered(r.machine, now);
   }
   void finish(int n) { report({{TaskId{id(n), 0}, Attempt{1}, TaskState::ended, ExitCause::done, false}}); }
   // The job's task is placed, started and done; its end is not stored yet.
   void run(int n) {
     report({});
-    s.round(now);
+    s.run_cycle(now);
     store_all();
     finish(n);
   }
@@ -79,12 +79,12 @@
   EXPECT_EQ(JobPhase::pending, c.s.status(Chain::id(2))->phase);
   c.run(1);
   EXPECT_EQ(JobPhase::done, c.phase(1));
-  c.s.round(c.now);
+  c.s.run_cycle(c.now);
   EXPECT_EQ(JobPhase::waiting, c.phase(2)) << "in memory only: a successor would not know";
   EXPECT_TRUE(c.s.find_job(Chain::id(2))->placed.empty());
   c.store_all();
   EXPECT_EQ(JobPhase::pending, c.phase(2));
-  c.s.round(c.now);
+  c.s.run_cycle(c.now);
   EXPECT_EQ(1U, c.s.find_job(Chain::id(2))->placed.size());
 }
 
@@ -95,17 +95,17 @@
   guest.spec.team = "wide";
   c.s.add_job(guest, c.now);
   c.report({});
-  c.s.round(c.now);
+  c.s.run_cycle(c.now);
   c.store_all();
   c.report({});
   c.report({{TaskId{Chain::id(9), 0}, Attempt{1}, TaskState::running, ExitCause::none, false}});
   c.add(1, {}, 0);
   c.add(2, {1}, 4);  // with it, nothing after it would fit into the guarantee of 4
   c.add(3, {});
-  c.s.round(c.now);
-  EXPECT_EQ(2U, c.s.last_round().rows);
+  c.s.run_cycle(c.now);
+  EXPECT_EQ(2U, c.s.last_cycle().jobs);
   const auto& placed = c.s.machines().at(MachineId{"i-1"}).placements;
-  EXPECT_TRUE(placed.front().task.job == Chain::id(9) && placed.front().stop_wanted);
+  EXPECT_TRUE(placed.front().task.job == Chain::id(9) && placed.front().stop_requested);
 }
 
 TEST(chains, a_cancellation_takes_all_that_need_the_job_once_it_is_stored) {
@@ -122,10 +122,10 @@
   EXPECT_EQ(Chain::id(1), first[0].final_job->id);
   EXPECT_EQ(JobPhase::waiting, c.phase(2));
   c.store(first);
-  EXPECT_FALSE(c.s.cascade_stored(Chain::id(1)));
+  EXPECT_FALSE(c.s.is_cascade_stored(Chain::id(1)));
   EXPECT_FALSE(c.s.status(Chain::id(3))) << "its end is not stored yet, but it must not be called active either";
   c.store_all();
-  EXPECT_TRUE(c.s.cascade_stored(Chain::id(1)));
+  EXPECT_TRUE(c.s.is_cascade_stored(Chain::id(1)));
   for (const int n : {1, 2, 3, 4}) EXPECT_EQ(JobPhase::cancelled, c.ends.at(Chain::id(n)));
   EXPECT_FALSE(c.ends.contains(Chain::id(5)));
 }
@@ -147,11 +147,11 @@
   EXPECT_EQ((std::vector{Chain::id(1), Chain::id(2)}), c.s.take_lookups());
   EXPECT_TRUE(c.s.take_lookups().empty());
   EXPECT_FALSE(c.s.status(Chain::id(3))) << "one of them may be cancelled";
-  c.s.on_end_found(Chain::id(1), JobPhase::done, c.now);
-  c.s.ask_again(Chain::id(2));
+  c.s.on_end_looked_up(Chain::id(1), JobPhase::done, c.now);
+  c.s.retry_lookup(Chain::id(2));
   EXPECT_EQ(std::vector{Chain::id(2)}, c.s.take_lookups());
   EXPECT_EQ(JobPhase::waiting, c.phase(3));
-  c.s.on_end_found(Chain::id(2), JobPhase::done, c.now);
+  c.s.on_end_looked_up(Chain::id(2), JobPhase::done, c.now);
   EXPECT_EQ(JobPhase::pending, c.phase(3));
 }
 
@@ -160,7 +160,7 @@
   c.add(2, {1});
   c.add(3, {2});
   (void)c.s.take_lookups();
-  c.s.on_end_found(Chain::id(1), JobPhase::cancelled, c.now);
+  c.s.on_end_looked_up(Chain::id(1), JobPhase::cancelled, c.now);
   c.store_all();
   EXPECT_EQ(JobPhase::cancelled, c.ends.at(Chain::id(2)));
   EXPECT_EQ(JobPhase::cancelled, c.ends.at(Chain::id(3)));
@@ -171,7 +171,7 @@
   Chain c;
   c.add(1, {});
   Job last = c.job(3, {2});
-  last.spec.rank = Rank::high;
+  last.spec.priority = Priority::high;
   last.spec.deadline_s = 100;
   last.spec.estimate_s = 10;
   Job middle = c.job(2, {1});
@@ -179,32 +179,32 @@
   c.s.add_job(middle, c.now);
   c.s.add_job(last, c.now);
   const auto& first = *c.s.find_job(Chain::id(1));
-  EXPECT_EQ(Rank::high, first.rank);
-  ASSERT_TRUE(first.due.has_value());
-  EXPECT_LT(*first.due, c.now + seconds(100 - 10 - 20));
-  EXPECT_GT(*first.due, c.now + seconds(100 - 10 - 20 - 10));
+  EXPECT_EQ(Priority::high, first.priority);
+  ASSERT_TRUE(first.effective_deadline.has_value());
+  EXPECT_LT(*first.effective_deadline, c.now + seconds(100 - 10 - 20));
+  EXPECT_GT(*first.effective_deadline, c.now + seconds(100 - 10 - 20 - 10));
   c.s.cancel(Chain::id(3), c.now);
-  EXPECT_EQ(Rank::normal, first.rank);
-  EXPECT_FALSE(first.due.has_value());
+  EXPECT_EQ(Priority::normal, first.priority);
+  EXPECT_FALSE(first.effective_deadline.has_value());
 }
 
 // A graph of jobs, some cancelled; the leader ends after any number of writes. Its successor, from what is stored,
 // comes to the same: a job is cancelled if and only if it needs one that a user cancelled.
 RC_GTEST_PROP(chains, a_successor_finishes_a_cascade, (const std::vector<std::vector<std::uint8_t>>& graph)) {
   Chain c;
-  std::vector<std::vector<int>> awaits;
+  std::vector<std::vector<int>> dependencies;
   for (const auto& names : graph) {
-    const int n = static_cast<int>(awaits.size());
-    awaits.emplace_back();
+    const int n = static_cast<int>(dependencies.size());
+    dependencies.emplace_back();
     for (const auto name : names) {
-      if (n > 0) awaits.back().push_back(name % n);
+      if (n > 0) dependencies.back().push_back(name % n);
     }
-    std::ranges::sort(awaits.back());
-    const auto rest = std::ranges::unique(awaits.back());
-    awaits.back().erase(rest.begin(), rest.end());
-    c.add(n, awaits.back());
+    std::ranges::sort(dependencies.back());
+    const auto rest = std::ranges::unique(dependencies.back());
+    dependencies.back().erase(rest.begin(), rest.end());
+    c.add(n, dependencies.back());
   }
-  const int count = static_cast<int>(awaits.size());
+  const int count = static_cast<int>(dependencies.size());
   RC_PRE(count > 0);
   std::set<int> gone;
   for (const int n : *rc::gen::container<std::vector<int>>(2, rc::gen::inRange(0, count))) {
@@ -220,17 +220,18 @@
   for (int n = 0; n < count; ++n) {
     const bool told = gone.contains(n) && c.ends.contains(Chain::id(n));
     const bool needs =
-        std::ranges::any_of(awaits[static_cast<std::size_t>(n)], [&](int a) { return expected.contains(a); });
+        std::ranges::any_of(dependencies[static_cast<std::size_t>(n)], [&](int a) { return expected.contains(a); });
     if (told || needs) expected.insert(n);
   }
   Chain next;
   next.ends = c.ends;
   for (int n = 0; n < count; ++n) {
-    if (!c.ends.contains(Chain::id(n))) next.s.load_job(next.job(n, awaits[static_cast<std::size_t>(n)]), next.now);
+    if (!c.ends.contains(Chain::id(n)))
+      next.s.load_job(next.job(n, dependencies[static_cast<std::size_t>(n)]), next.now);
   }
   next.s.finish_load(next.now);
   for (int i = 0; i < 3; ++i) {
-    for (const auto& id : next.s.take_lookups()) next.s.on_end_found(id, next.ends.at(id), next.now);
+    for (const auto& id : next.s.take_lookups()) next.s.on_end_looked_up(id, next.ends.at(id), next.now);
     next.store_all();
   }
   for (int n = 0; n < count; ++n) {
--- a/tests/blame_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -2,24 +2,24 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 
 namespace martenwall {
 namespace {
 
 struct Farm {
   Time now{seconds(1000)};
-  std::uint64_t tick = 0;
-  Scheduler s{setup(), [](const std::string&) {}};
+  std::uint64_t sequence = 0;
+  Scheduler s{options(), [](const std::string&) {}};
   std::set<MachineId> sick;
   std::set<JobId> broken;
-  std::map<MachineId, std::vector<TaskReport>> tasks;
+  std::map<MachineId, std::vector<TaskStatus>> tasks;
   std::map<JobId, std::size_t> tries;
 
-  static Scheduler::Setup setup() {
-    Scheduler::Setup u;
+  static Scheduler::Options options() {
+    Scheduler::Options u;
     u.teams = {{"red", {}, {0, 1e6, 0}}};
-    u.token = Token{50};
+    u.token = FencingToken{50};
     u.policy.direct_starts = false;
     return u;
   }
@@ -27,25 +27,25 @@
     s.set_types({{"g", {8, 4, 64}, 50, 1, 10, 3, 40, {"a", "b"}}});
     for (int i = 0; i < machines; ++i) tasks[MachineId{"i-" + std::to_string(i)}];
   }
-  void job(const char* id, Shape shape, std::uint32_t n, Rank rank = Rank::normal) {
+  void job(const char* id, JobKind kind, std::uint32_t n, Priority priority = Priority::normal) {
     Job j;
     j.spec.id = JobId{id};
     j.spec.team = "red";
-    j.spec.lane = "x";
-    j.spec.shape = shape;
-    j.spec.rank = rank;
+    j.spec.job_class = "x";
+    j.spec.kind = kind;
+    j.spec.priority = priority;
     j.spec.tasks = n;
-    j.spec.need = {1, shape == Shape::gang ? 4.0 : 1.0, 1};
+    j.spec.need = {1, kind == JobKind::gang ? 4.0 : 1.0, 1};
     j.submitted = now;
     s.add_job(j, now);
   }
-  void run(const MachineId& id, const Order& o) {
+  void run(const MachineId& id, const Command& o) {
     auto& list = tasks[id];
     std::erase_if(list, [&](const auto& t) { return t.task == o.task && t.attempt == o.attempt; });
-    if (o.verb == Order::Verb::forget) return;
-    TaskReport t{o.task, o.attempt, TaskState::ended, ExitCause::done};
-    if (o.verb == Order::Verb::stop) t.cause = ExitCause::stopped;
-    if (o.verb == Order::Verb::start) {
+    if (o.verb == Command::Verb::forget) return;
+    TaskStatus t{o.task, o.attempt, TaskState::ended, ExitCause::done};
+    if (o.verb == Command::Verb::stop) t.cause = ExitCause::stopped;
+    if (o.verb == Command::Verb::start) {
       ++tries[o.task.job];
       if (sick.contains(id) || broken.contains(o.task.job)) t.cause = ExitCause::error;
     }
@@ -55,24 +55,24 @@
   void play(double long_s) {
     for (const Time until = now + seconds(long_s); now < until; now += seconds(1)) {
       for (auto& [id, list] : tasks) {
-        WorkerReport r;
+        Heartbeat r;
         r.machine = id;
         r.addr = "10.0.0.9:1";
         r.type = "g";
         r.zone = "a";
-        r.session = Session{1};
-        r.tick = Tick{++tick};
-        r.token = Token{50};
+        r.incarnation = Incarnation{1};
+        r.sequence = HeartbeatSequence{++sequence};
+        r.token = FencingToken{50};
         r.tasks = list;
-        const auto orders = s.on_report(r, ReportSource::beat, now, true);
-        s.answered(id, now);
-        for (const auto& o : orders) run(id, o);
+        const auto commands = s.on_heartbeat(r, StatusSource::heartbeat, now, true);
+        s.on_heartbeat_answered(id, now);
+        for (const auto& o : commands) run(id, o);
       }
-      s.round(now);
-      (void)s.take_hires();
+      s.run_cycle(now);
+      (void)s.take_scale_out_requests();
       for (auto rows = s.take_writes(200, true, now + seconds(5)); !rows.empty();
            rows = s.take_writes(200, true, now + seconds(5))) {
-        s.stored(rows, now);
+        s.on_rows_stored(rows, now);
       }
     }
   }
@@ -90,7 +90,7 @@
   f.play(2);
   for (const char* id : {"job-1", "job-2", "job-3", "job-4"}) {
     f.broken.insert(JobId{id});
-    f.job(id, id[4] % 2 == 0 ? Shape::gang : Shape::array, 4);
+    f.job(id, id[4] % 2 == 0 ? JobKind::gang : JobKind::array, 4);
   }
   f.play(120);
   EXPECT_EQ(0U, f.quarantined());
@@ -100,7 +100,7 @@
     EXPECT_TRUE(job->suspect) << id.value();
     EXPECT_LT(f.tries[id], 40U) << id.value();
   }
-  f.job("job-9", Shape::array, 40);
+  f.job("job-9", JobKind::array, 40);
   f.play(30);
   EXPECT_EQ(nullptr, f.s.find_job(JobId{"job-9"})) << "the others' work must go on";
 }
@@ -109,7 +109,7 @@
   Farm f{6};
   f.sick.insert(MachineId{"i-0"});
   f.play(2);
-  for (int i = 0; i < 20; ++i) f.job(("job-" + std::to_string(i)).c_str(), Shape::array, 6);
+  for (int i = 0; i < 20; ++i) f.job(("job-" + std::to_string(i)).c_str(), JobKind::array, 6);
   f.play(90);
   EXPECT_TRUE(f.s.jobs().empty());
   const auto m = f.s.machines().find(MachineId{"i-0"});
@@ -122,7 +122,7 @@
   Farm f{8};
   f.play(2);
   f.broken.insert(JobId{"job-1"});
-  f.job("job-1", Shape::array, 30);
+  f.job("job-1", JobKind::array, 30);
   f.play(5);
   const auto* job = f.s.find_job(JobId{"job-1"});
   ASSERT_NE(nullptr, job);
@@ -163,7 +163,7 @@
   for (std::size_t i = 0; i < kinds.size(); ++i) {
     const auto id = "job-" + std::to_string(i);
     (kinds[i] ? good : f.broken).insert(JobId{id});
-    f.job(id.c_str(), i % 3 == 0 ? Shape::gang : Shape::array, 3);
+    f.job(id.c_str(), i % 3 == 0 ? JobKind::gang : JobKind::array, 3);
     f.play(1);
   }
   f.play(300);
--- a/tests/meetings_hunt_test.cpp
+++ b/tests/failure_combinations_generated_test.cpp
@@ -18,7 +18,7 @@
     const double t = between(1, 30);
     switch (random_() % 24) {
       case 0:
-        r_.store().trouble(c).refuses_until = r_.now() + seconds(t);
+        r_.store().faults(c).refuses_until = r_.now() + seconds(t);
         return "refused alone";
       case 1:
         r_.store().fail_for(seconds(t));
@@ -34,21 +34,21 @@
         return "links cut";
       case 5:
         r_.cut_links(c, t);
-        r_.store().trouble(c).refuses_until = r_.now() + seconds(t);
+        r_.store().faults(c).refuses_until = r_.now() + seconds(t);
         return "cut from the store and the others";
       case 6:
         r_.store().slow_down(seconds(between(0.1, 1.2)), r_.now() + seconds(t));
         return "slow store";
       case 7:
-        for (std::size_t i = 0; i < r_.controllers(); ++i) r_.store().trouble(i).late_until = r_.now() + seconds(t);
-        for (std::size_t i = 0; i < r_.controllers(); ++i) r_.store().trouble(i).late_share = between(0.05, 0.5);
+        for (std::size_t i = 0; i < r_.controllers(); ++i) r_.store().faults(i).late_until = r_.now() + seconds(t);
+        for (std::size_t i = 0; i < r_.controllers(); ++i) r_.store().faults(i).late_share = between(0.05, 0.5);
         return "late writes";
       case 8:
         r_.environment().late_reports = between(0.05, 0.4);
         return "late reports";
       case 9:
         for (auto& w : r_.workers()) {
-          if (between(0, 1) < 0.4) w->go_deaf(seconds(t));
+          if (between(0, 1) < 0.4) w->lose_downlink(seconds(t));
         }
         return "deaf machines";
       case 10:
@@ -84,10 +84,10 @@
     switch (random_() % 9) {
       case 0:
         for (std::size_t i = 0; i < r_.controllers(); ++i) {
-          auto& trouble = r_.store().trouble(i);
-          trouble.late_share = between(0.05, 0.5);
-          trouble.at_once = true;
-          trouble.late_until = r_.now() + seconds(t);
+          auto& faults = r_.store().faults(i);
+          faults.late_share = between(0.05, 0.5);
+          faults.at_once = true;
+          faults.late_until = r_.now() + seconds(t);
         }
         return "only answers lost";
       case 1:
@@ -96,7 +96,7 @@
         return "old reports for the next leader";
       case 2:
         for (auto& w : r_.workers()) {
-          if (between(0, 1) < 0.4) w->go_mute(seconds(t));
+          if (between(0, 1) < 0.4) w->lose_uplink(seconds(t));
         }
         return "mute machines";
       case 3:
@@ -129,7 +129,7 @@
     std::size_t hanging = 0;
     for (const auto& id : jobs) {
       const auto& work = r_.rules().work(id);
-      if (work.told_done || !work.accepted || between(0, 1) < 0.5) continue;
+      if (work.reported_done || !work.accepted || between(0, 1) < 0.5) continue;
       r_.cancel(id, {r_.pick(), r_.pick()});
       for (auto& w : r_.workers()) {
         if (hang_s > 0 && hanging < 8 && w->has(id)) {
@@ -150,17 +150,17 @@
 
 JobSpec some_job(Troubles& t, const std::vector<JobId>& earlier) {
   JobSpec s;
-  s.shape = t.number() % 2 == 0 ? Shape::gang : Shape::array;
-  s.rank = static_cast<Rank>(t.number() % 4);
-  s.tasks = 1 + static_cast<std::uint32_t>(t.number() % (s.shape == Shape::gang ? 3 : 6));
-  s.need = {4, s.shape == Shape::gang ? 4.0 : 1.0, 8};
+  s.kind = t.number() % 2 == 0 ? JobKind::gang : JobKind::array;
+  s.priority = static_cast<Priority>(t.number() % 4);
+  s.tasks = 1 + static_cast<std::uint32_t>(t.number() % (s.kind == JobKind::gang ? 3 : 6));
+  s.need = {4, s.kind == JobKind::gang ? 4.0 : 1.0, 8};
   s.one_zone = t.number() % 3 == 0;
   s.spread = !s.one_zone && t.number() % 4 == 0;
   if (!s.spread && t.number() % 6 == 0) s.zone = t.number() % 2 == 0 ? "a" : "b";
   s.spot = t.number() % 2 == 0;
-  s.checkpoint_s = t.number() % 2 == 0 ? 5 : 0;
-  s.save_s = 2;
-  if (!earlier.empty() && t.number() % 4 == 0) s.awaits = {earlier.at(t.number() % earlier.size())};
+  s.checkpoint_interval_s = t.number() % 2 == 0 ? 5 : 0;
+  s.checkpoint_duration_s = 2;
+  if (!earlier.empty() && t.number() % 4 == 0) s.dependencies = {earlier.at(t.number() % earlier.size())};
   return s;
 }
 
@@ -195,7 +195,7 @@
   r.environment().kept.clear();
   r.environment().fetch_s = r.environment().fetch_more_s = 1;
   r.rules().on_complete = nullptr;
-  r.rules().all_troubles_over(r.now());
+  r.rules().all_faults_over(r.now());
   const bool over = r.run_until(600, [&] { return r.all_over() || !r.rules().breaches().empty(); });
   if (r.rules().breaches().empty()) r.run(40);
   breaches = r.breaches();
--- a/tests/meetings_machines_test.cpp
+++ b/tests/failure_combinations_machines_test.cpp
@@ -39,12 +39,12 @@
   if (c.late_reports) r.environment().late_reports = 0.5;
   r.run(0.3);
   if (c.refused) {
-    r.store().trouble(b.old).refuses_until = r.now() + seconds(20);
+    r.store().faults(b.old).refuses_until = r.now() + seconds(20);
   } else {
     r.kill_for(b.old, 5);
   }
   ASSERT_TRUE(r.run_until(15, [&] { return r.leader().has_value() && (!c.refused || *r.leader() != b.old); }));
-  const bool told = r.rules().work(cancelled.front()).told_cancelled.has_value();
+  const bool told = r.rules().work(cancelled.front()).reported_cancelled.has_value();
   EXPECT_TRUE(told && std::ranges::any_of(r.workers(), has_cancelled))
       << "else nothing of a cancelled job was left when the next leader began";
   r.cancel(b.jobs.at(3), {r.others_of(b.old, 1), r.others_of(b.old, 2)});
@@ -72,14 +72,14 @@
     Busy b{seed, options, 40};
     Region& r = b.r;
     for (std::size_t c = 0; c < 3; ++c) {
-      r.store().trouble(c).late_share = 0.4;
-      r.store().trouble(c).late_until = r.now() + seconds(30);
+      r.store().faults(c).late_share = 0.4;
+      r.store().faults(c).late_until = r.now() + seconds(30);
     }
     for (int k = 0; k < 3; ++k) {
       const auto machines = r.workers().size();
       for (int i = 0; i < 3; ++i) {
         JobSpec gang;
-        gang.shape = Shape::gang;
+        gang.kind = JobKind::gang;
         gang.tasks = 2;
         gang.need = {4, 4, 8};
         gang.one_zone = i == 0;
@@ -137,7 +137,7 @@
       std::vector<Worker*> mute;
       for (std::size_t i = 0; i < r.workers().size(); i += 2) {
         mute.push_back(r.workers().at(i).get());
-        mute.back()->go_mute(seconds(time));
+        mute.back()->lose_uplink(seconds(time));
       }
       const auto old_token = r.token_of(b.old);
       for (int i = 0; i < 3; ++i) r.submit_array(4, 10);
@@ -175,7 +175,7 @@
       r.run(5);
       for (int i = 0; i < 3; ++i) r.submit_array(4, 10);
       r.run(time);
-      EXPECT_TRUE(r.rules().work(b.jobs.at(0)).told_cancelled.has_value()) << "by those outside";
+      EXPECT_TRUE(r.rules().work(b.jobs.at(0)).reported_cancelled.has_value()) << "by those outside";
       ASSERT_TRUE(r.leader().has_value());
       EXPECT_EQ(step == 0, r.token_of(*r.leader()) > old_token) << "a cut leader is followed by another";
       r.run(20);
@@ -198,7 +198,7 @@
     }
     for (std::size_t c = 0; c < 3; ++c) r.kill_for(c, time + 0.2 * static_cast<double>(c));
     r.run(time + 25);
-    EXPECT_TRUE(r.rules().work(b.jobs.at(0)).told_cancelled.has_value());
+    EXPECT_TRUE(r.rules().work(b.jobs.at(0)).reported_cancelled.has_value());
     b.ends_well(600);
   }
 }
@@ -213,7 +213,7 @@
     std::vector<JobId> bound;
     for (int i = 0; i < 4; ++i) {
       JobSpec s;
-      s.shape = i % 2 == 0 ? Shape::array : Shape::gang;
+      s.kind = i % 2 == 0 ? JobKind::array : JobKind::gang;
       s.tasks = 3;
       s.need = {1, 2, 8};
       s.one_zone = i < 3;
@@ -247,12 +247,12 @@
   r.environment().fetch_more_s = 20;
   for (int i = 0; i < 16; ++i) {
     JobSpec s;
-    s.shape = i % 2 == 0 ? Shape::gang : Shape::array;
-    s.rank = static_cast<Rank>(i % 4);
+    s.kind = i % 2 == 0 ? JobKind::gang : JobKind::array;
+    s.priority = static_cast<Priority>(i % 4);
     s.tasks = i % 2 == 0 ? 3 : 6;
     s.need = {4, i % 2 == 0 ? 4.0 : 1.0, 8};
-    s.checkpoint_s = i % 3 == 0 ? 5 : 0;
-    s.save_s = 2;
+    s.checkpoint_interval_s = i % 3 == 0 ? 5 : 0;
+    s.checkpoint_duration_s = 2;
     r.submit(s, 15);
     r.run(2);
     if (i == 9) r.kill_for(*r.leader(), 0.3);
@@ -277,7 +277,7 @@
       if (i == 4) r.store().fail_for(seconds(7));
       if (i % 2 == 0) r.cancel(b.jobs.at(static_cast<std::size_t>(i) / 2), {r.pick(), r.pick()});
       r.run(0.4);
-      if (l && seed == 282) r.store().trouble(*l).refuses_until = r.now() + seconds(2.5);
+      if (l && seed == 282) r.store().faults(*l).refuses_until = r.now() + seconds(2.5);
       if (l && seed != 282) r.kill_for(*l, i % 3 == 0 ? 0.2 : 4);
       r.run(2);
     }
@@ -299,11 +299,11 @@
       const JobId fresh = r.submit_array(3, 60);
       r.run(0.5);
       std::size_t told = 0;
-      r.rules().on_news = [&](const JobId& id) { told += r.rules().work(id).told_cancelled ? 1U : 0U; };
+      r.rules().on_news = [&](const JobId& id) { told += r.rules().work(id).reported_cancelled ? 1U : 0U; };
       for (std::size_t i = 0; i < 4; ++i) r.cancel(b.jobs.at(i), {r.others_of(b.old, i)});
       r.cancel(fresh, {b.old});
       r.run(before);
-      r.store().trouble(b.old).refuses_until = r.now() + seconds(45);
+      r.store().faults(b.old).refuses_until = r.now() + seconds(45);
       r.run(outage_after);
       r.store().fail_for(seconds(40));
       r.run(60);
--- a/tests/meetings_test.cpp
+++ b/tests/failure_combinations_test.cpp
@@ -36,7 +36,7 @@
   Busy b{seed, options};
   Region& r = b.r;
   const auto old_token = r.token_of(b.old);
-  r.store().trouble(b.old).refuses_until = r.now() + seconds(gap.before + gap.outage + 10);
+  r.store().faults(b.old).refuses_until = r.now() + seconds(gap.before + gap.outage + 10);
   // The machines reach no one else, and no one else reaches them: one that had heard of the successor would end it.
   for (auto& w : r.workers()) w->keep_to(b.old, seconds(gap.outage + 20));
   if (gap.links_cut) r.cut_links(b.old, gap.before + gap.outage + 10);
@@ -44,7 +44,7 @@
   for (std::size_t i = 0; i < 4; ++i) r.cancel(b.jobs.at(i), {r.others_of(b.old, 1), r.others_of(b.old, 2)});
   const auto told = [&] {
     return std::ranges::count_if(b.jobs,
-                                 [&](const JobId& id) { return r.rules().work(id).told_cancelled.has_value(); });
+                                 [&](const JobId& id) { return r.rules().work(id).reported_cancelled.has_value(); });
   };
   ASSERT_TRUE(r.run_until(10, [&] { return told() > 0; })) << "the successor confirms";
   const Time confirmed = r.now();
@@ -60,7 +60,7 @@
     r.start(b.old);
   }
   r.run(gap.outage);
-  if (gap.refused_again) r.store().trouble(*r.leader()).refuses_until = r.now() + seconds(10);
+  if (gap.refused_again) r.store().faults(*r.leader()).refuses_until = r.now() + seconds(10);
   bool met = gap.old_returns;
   for (const auto& w : r.workers()) {
     met = met || std::ranges::any_of(w->renewals(), [&](const auto& renewal) {
@@ -103,7 +103,7 @@
     Busy b{seed};
     Region& r = b.r;
     const auto old_token = r.token_of(b.old);
-    r.store().trouble(b.old).refuses_until = r.now() + seconds(40);
+    r.store().faults(b.old).refuses_until = r.now() + seconds(40);
     r.cut_links(b.old, 40);
     for (auto& w : r.workers()) w->keep_to(b.old, seconds(40));
     for (const auto& id : b.jobs) r.poll_at(id, {b.old});
@@ -111,7 +111,7 @@
     const Time since = r.now();
     for (std::size_t i = 0; i < 4; ++i) r.cancel(b.jobs.at(i), {r.others_of(b.old, 1)});
     r.run(40);
-    EXPECT_TRUE(r.rules().work(b.jobs.at(0)).told_cancelled.has_value());
+    EXPECT_TRUE(r.rules().work(b.jobs.at(0)).reported_cancelled.has_value());
     const bool met = std::ranges::any_of(r.workers(), [&](const auto& w) {
       return std::ranges::any_of(w->renewals(),
                                  [&](const auto& x) { return x.first > since && x.second == old_token; });
@@ -152,7 +152,7 @@
       },
       seconds(1000));  // it is lost
   ASSERT_TRUE(r.run_until(40, [&] { return taken; })) << "the end is sent";
-  r.store().trouble(b.old).refuses_until = r.now() + seconds(9);
+  r.store().faults(b.old).refuses_until = r.now() + seconds(9);
   // The others do not hear of the result before the job is cancelled.
   for (auto& w : r.workers()) w->keep_to(b.old, seconds(12));
   ASSERT_TRUE(r.run_until(6, [&] { return r.leader().has_value() && *r.leader() != b.old; }));
@@ -168,7 +168,7 @@
     ASSERT_NO_FATAL_FAILURE(lose_the_end(b, id));
     r.cancel(id, {r.others_of(b.old, 1), r.others_of(b.old, 2)});
     r.run(4);
-    if (r.rules().work(id).told_cancelled) ++met;
+    if (r.rules().work(id).reported_cancelled) ++met;
     r.poll_at(id, {b.old});
     b.ends_well(300);
   }
@@ -186,15 +186,15 @@
   ASSERT_NO_FATAL_FAILURE(lose_the_end(b, id));
   r.cut_links(b.old, 20);
   r.cancel(id, {r.others_of(b.old, 1), r.others_of(b.old, 2)});
-  ASSERT_TRUE(r.run_until(6, [&] { return r.rules().work(id).told_cancelled.has_value(); }));
+  ASSERT_TRUE(r.run_until(6, [&] { return r.rules().work(id).reported_cancelled.has_value(); }));
   r.poll_at(id, {r.others_of(b.old, 1)});
-  r.store().trouble(b.old).leases_slower = seconds(0.9);
+  r.store().faults(b.old).leases_slower = seconds(0.9);
   r.run(7);
   for (int i = 0; i < 60; ++i) {
     r.ask_once(id, b.old);
     r.run(0.05);
   }
-  r.store().trouble(b.old).leases_slower = Duration{0};
+  r.store().faults(b.old).leases_slower = Duration{0};
   EXPECT_EQ(1U, r.logged(b.old, "in doubt")) << "said once";
   EXPECT_EQ(1U, r.logged(b.old, "was not stored"));
   b.ends_well(700);
@@ -216,9 +216,9 @@
   r.poll_at(id, {b.old});
   r.cancel(id, {other});
   ASSERT_TRUE(r.run_until(10, [&] { return r.store().has(key); }));
-  r.store().trouble(b.old).slower = seconds(2.5);
-  r.store().trouble(b.old).slower_until = r.now() + seconds(12);
-  EXPECT_TRUE(r.run_until(8, [&] { return r.rules().work(id).told_cancelled.has_value(); })) << "by the other node";
+  r.store().faults(b.old).slower = seconds(2.5);
+  r.store().faults(b.old).slower_until = r.now() + seconds(12);
+  EXPECT_TRUE(r.run_until(8, [&] { return r.rules().work(id).reported_cancelled.has_value(); })) << "by the other node";
   for (int i = 0; i < 8; ++i) {
     r.ask_once(id, b.old);
     r.run(0.5);
@@ -238,13 +238,13 @@
   r.store().on_commit = [&](const nlohmann::json& txn, bool) {
     if (noted || !sets(txn, "i/job-")) return;
     noted = true;
-    r.store().trouble(b.old).slower = seconds(0.9);
-    r.store().trouble(b.old).slower_until = r.now() + seconds(4);
+    r.store().faults(b.old).slower = seconds(0.9);
+    r.store().faults(b.old).slower_until = r.now() + seconds(4);
   };
   const auto before = r.rules().started();
   const JobId id = r.submit_array(2, 5, other);
   ASSERT_TRUE(r.run_until(5, [&] { return noted; }));
-  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().work(id).told_done.has_value(); })) << "it never ran";
+  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().work(id).reported_done.has_value(); })) << "it never ran";
   EXPECT_GT(r.rules().started(), before);
   EXPECT_EQ("", r.breaches());
 }
@@ -264,7 +264,7 @@
         continue;
       }
       leaders.insert(*l);
-      if (i % 3 == 0) r.store().trouble(*l).refuses_until = r.now() + seconds(3);
+      if (i % 3 == 0) r.store().faults(*l).refuses_until = r.now() + seconds(3);
       if (i % 3 == 1) r.kill_for(*l, 0.3);
       if (i % 3 == 2) {
         for (std::size_t c = 0; c < 3; ++c) r.kill_for(c, c == *l ? 0.5 : 20);
@@ -299,7 +299,7 @@
     for (std::size_t c = 0; c < 3; ++c) {
       if (c != *l) r.kill_for(c, 12);
     }
-    r.store().trouble(*l).refuses_until = r.now() + seconds(2.5);
+    r.store().faults(*l).refuses_until = r.now() + seconds(2.5);
     r.run(2.6);
     ASSERT_TRUE(r.run_until(10, [&] { return r.leader() == l; }));
     for (int k = 0; k < 6; ++k) r.submit_array(4, 20);
@@ -345,13 +345,13 @@
   JobSpec chained;
   chained.tasks = 1;
   chained.need = {1, 1, 8};
-  chained.awaits = {b.jobs.at(0)};
+  chained.dependencies = {b.jobs.at(0)};
   const JobId id = r.submit(chained, 5);
   ASSERT_TRUE(r.run_until(10, [&] { return r.rules().work(id).accepted.has_value(); }));
   r.kill(other);
   r.start(other);
   r.cut_links(other, 10);
-  r.store().trouble(other).refuses_until = r.now() + seconds(3);
+  r.store().faults(other).refuses_until = r.now() + seconds(3);
   r.run(2.9);
   for (int i = 0; i < 40; ++i) {
     r.ask_once(id, other);
@@ -395,7 +395,7 @@
     Region& r = b.r;
     for (int i = 0; i < 3; ++i) {
       JobSpec gang;
-      gang.shape = Shape::gang;
+      gang.kind = JobKind::gang;
       gang.tasks = 2;
       gang.need = {4, 4, 8};
       gang.one_zone = true;
@@ -407,7 +407,7 @@
       auto& w = *r.workers().at(i);
       if (w.busy()) ++with_work;
       if (seed < 63) {
-        w.go_deaf(seconds(away));
+        w.lose_downlink(seconds(away));
       } else {
         w.lose_everyone(seconds(away));
       }
@@ -437,7 +437,7 @@
   ASSERT_TRUE(r.run_until(3, [&] { return late; }));
   r.poll_at(id, {other});
   r.cut_links(b.old, 8);
-  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().work(id).told_done.has_value(); })) << "it never ran";
+  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().work(id).reported_done.has_value(); })) << "it never ran";
   EXPECT_EQ(1U, r.store().late());
   EXPECT_EQ("", r.breaches());
 }
@@ -449,8 +449,8 @@
     Busy b{seed, {}, 12};
     Region& r = b.r;
     for (std::size_t c = 0; c < 3; ++c) {
-      r.store().trouble(c).late_share = 0.3;
-      r.store().trouble(c).late_until = r.now() + seconds(60);
+      r.store().faults(c).late_share = 0.3;
+      r.store().faults(c).late_until = r.now() + seconds(60);
     }
     for (int i = 0; i < 6; ++i) {
       const JobId id = r.submit_array(3, 4);
@@ -484,9 +484,9 @@
   ASSERT_NE(nullptr, holder);
   r.run(2.2);  // the command is unanswered
   // No report of it arrives until the leader cannot prove itself any more.
-  holder->go_mute(seconds(4));
+  holder->lose_uplink(seconds(4));
   r.cancel(id, {b.old});
-  ASSERT_TRUE(r.run_until(2, [&] { return r.rules().work(id).told_cancelled.has_value(); }));
+  ASSERT_TRUE(r.run_until(2, [&] { return r.rules().work(id).reported_cancelled.has_value(); }));
   r.store().fail_for(seconds(11));
   r.run(45);
   EXPECT_GT(holder->executed_late(), 0U) << "the start was held";
--- a/tests/meetings_users_test.cpp
+++ b/tests/failure_combinations_users_test.cpp
@@ -12,9 +12,9 @@
 using region::RegionOptions;
 using region::sets;
 
-JobSpec small_job(std::uint32_t tasks, Shape shape = Shape::array) {
+JobSpec small_job(std::uint32_t tasks, JobKind kind = JobKind::array) {
   JobSpec s;
-  s.shape = shape;
+  s.kind = kind;
   s.tasks = tasks;
   s.need = {1, 1, 8};
   return s;
@@ -29,16 +29,16 @@
     r.look_closely(0.4);
     JobId last = b.jobs.front();
     for (int i = 0; i < 14; ++i) {
-      r.submit(small_job(1 + static_cast<std::uint32_t>(i) % 3, i % 4 == 3 ? Shape::gang : Shape::array), 2);
+      r.submit(small_job(1 + static_cast<std::uint32_t>(i) % 3, i % 4 == 3 ? JobKind::gang : JobKind::array), 2);
       auto chained = small_job(1);
-      chained.awaits = {last};
+      chained.dependencies = {last};
       last = r.submit(chained, 1);
       r.run(2.5);
       const auto l = r.leader();
       if (!l) continue;
       if (i == 2) r.kill_for(*l, 0.2);
       if (i == 4) r.cut_links(*l, 6);
-      if (i == 6) r.store().trouble(*l).refuses_until = r.now() + seconds(5);
+      if (i == 6) r.store().faults(*l).refuses_until = r.now() + seconds(5);
       if (i == 8) r.freeze(*l, 3);
       if (i == 9) r.kill_for(r.others_of(*l, 1), 0.2);
       if (i == 10) r.store().slow_down(seconds(0.8), r.now() + seconds(4));
@@ -59,10 +59,10 @@
     Region& r = b.r;
     r.look_closely(0.3);
     for (std::size_t c = 0; c < 3; ++c) {
-      auto& trouble = r.store().trouble(c);
-      trouble.late_share = 0.4;
-      trouble.at_once = true;
-      trouble.late_until = r.now() + seconds(60);
+      auto& faults = r.store().faults(c);
+      faults.late_share = 0.4;
+      faults.at_once = true;
+      faults.late_until = r.now() + seconds(60);
     }
     for (int i = 0; i < 10; ++i) {
       const JobId id = r.submit(small_job(2), 3);
@@ -70,7 +70,7 @@
       if (i % 2 == 0) r.cancel(id, {r.pick(), r.pick()});
       const auto l = r.leader();
       if (i == 3 && l) r.kill_for(*l, 0.3);
-      if (i == 5 && l) r.store().trouble(*l).refuses_until = r.now() + seconds(4);
+      if (i == 5 && l) r.store().faults(*l).refuses_until = r.now() + seconds(4);
       if (i == 7 && l) r.cut_links(*l, 5);
       r.run(3);
     }
@@ -93,13 +93,13 @@
       },
       Duration{0});
   r.store().on_commit = [&](const json& txn, bool late) {
-    if (late && writer && sets(txn, "lead")) r.store().trouble(*writer).refuses_until = r.now() + seconds(1.9);
+    if (late && writer && sets(txn, "lead")) r.store().faults(*writer).refuses_until = r.now() + seconds(1.9);
   };
   r.kill_for(b.old, 20);
   ASSERT_TRUE(r.run_until(10, [&] { return writer.has_value(); }));
   r.cancel(b.jobs.at(0), {r.others_of(b.old, 1), r.others_of(b.old, 2)});
   EXPECT_TRUE(r.run_until(15, [&] { return r.leader().has_value(); })) << "someone leads in the end";
-  EXPECT_TRUE(r.run_until(15, [&] { return r.rules().work(b.jobs.at(0)).told_cancelled.has_value(); }));
+  EXPECT_TRUE(r.run_until(15, [&] { return r.rules().work(b.jobs.at(0)).reported_cancelled.has_value(); }));
   EXPECT_EQ(1U, r.store().late());
   b.ends_well(700);
 }
@@ -124,7 +124,7 @@
     r.run(0.3);
     EXPECT_TRUE(r.rules().work(id).accepted.has_value()) << "the other node found it";
     r.cancel(id, {other});
-    EXPECT_TRUE(r.run_until(20, [&] { return r.rules().work(id).told_cancelled.has_value(); }));
+    EXPECT_TRUE(r.run_until(20, [&] { return r.rules().work(id).reported_cancelled.has_value(); }));
     b.ends_well(300);
   }
 }
@@ -143,7 +143,7 @@
       if (killed) {
         r.kill_for(b.old, 8);
       } else {
-        r.store().trouble(b.old).refuses_until = r.now() + seconds(8);
+        r.store().faults(b.old).refuses_until = r.now() + seconds(8);
       }
       r.run(after);
       const bool changing = !r.leader() || *r.leader() != b.old || after < 2;
@@ -152,7 +152,7 @@
       EXPECT_TRUE(changing);
       const auto all_told = [&] {
         return std::ranges::all_of(fresh,
-                                   [&](const JobId& id) { return r.rules().work(id).told_cancelled.has_value(); });
+                                   [&](const JobId& id) { return r.rules().work(id).reported_cancelled.has_value(); });
       };
       EXPECT_TRUE(r.run_until(15, all_told)) << "each is confirmed within seconds of a leader's being there";
       r.run(30);
@@ -172,13 +172,13 @@
     r.look_closely();
     r.cancel_at_end(0.7);
     for (int i = 0; i < 40; ++i) {
-      r.submit(small_job(1 + static_cast<std::uint32_t>(i) % 3, i % 3 == 2 ? Shape::gang : Shape::array), 2);
+      r.submit(small_job(1 + static_cast<std::uint32_t>(i) % 3, i % 3 == 2 ? JobKind::gang : JobKind::array), 2);
       r.run(0.7);
     }
     b.ends_well(200);
     for (const auto& [id, w] : r.rules().works()) {
       if (!w.cancel_asked) continue;
-      ++(w.told_done ? done : cancelled);
+      ++(w.reported_done ? done : cancelled);
     }
   }
   EXPECT_GT(done + cancelled, 60U) << "called off at the end";
@@ -216,7 +216,7 @@
 json valid_request() {
   auto spec = small_job(2);
   spec.id = JobId{"job-900000"};
-  spec.lane = "x";
+  spec.job_class = "x";
   spec.team = "red";
   spec.image = "img";
   spec.image_gb = 1;
@@ -307,7 +307,7 @@
   // A job that can run, unfinished: its submission again is no new one, whatever is asked of it.
   json again = wire::encode_job(r.rules().work(b.jobs.at(0)).spec);
   const JobId done = r.submit_array(1, 1);
-  ASSERT_TRUE(r.run_until(20, [&] { return r.rules().work(done).told_done.has_value(); }));
+  ASSERT_TRUE(r.run_until(20, [&] { return r.rules().work(done).reported_done.has_value(); }));
   for (std::size_t c = 0; c < 3; ++c) {
     EXPECT_EQ(200, r.request(c, "POST", "/api/jobs", again.dump()).status);
     json changed = again;
--- a/tests/versions_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -4,7 +4,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "wire/peer_codec.hpp"
-#include "wire/state_codec.hpp"
+#include "wire/store_codec.hpp"
 #include "wire/user_codec.hpp"
 
 namespace martenwall::wire {
@@ -20,7 +20,7 @@
 constexpr const char* cancel_note = R"({"cancel":true,"node":"stall-1"})";
 constexpr const char* reach_note = R"({"stranded":12})";
 constexpr const char* leader_row = R"({"node":"stall-1","nonce":"77"})";
-constexpr const char* reign_row = R"({"grace_ms":16000})";
+constexpr const char* leadership_record_row = R"({"grace_ms":16000})";
 constexpr std::uint32_t size_of_8_kib = 116;  // what that version reckons for values of 8 KiB
 
 // What the version in production asks of a row before it takes it, written down once and for all.
@@ -54,20 +54,20 @@
   ASSERT_TRUE(job);
   EXPECT_EQ(16U, job->spec.tasks);
   EXPECT_EQ(Time{seconds(95)}, job->submitted);
-  EXPECT_FALSE(job->chained);
-  const auto tasks = decode_legacy_tasks("p/job-000412/2", json::parse(task_row), size_of_8_kib);
+  EXPECT_FALSE(job->dependent);
+  const auto tasks = decode_v1_tasks("p/job-000412/2", json::parse(task_row), size_of_8_kib);
   ASSERT_TRUE(tasks);
   EXPECT_EQ(2U * size_of_8_kib, tasks->first);
   EXPECT_EQ(size_of_8_kib, tasks->size);
   EXPECT_EQ(9U, tasks->next_attempt);
-  ASSERT_EQ(2U, tasks->held.size());
-  EXPECT_EQ(Attempt{8}, tasks->held[1].attempt);
+  ASSERT_EQ(2U, tasks->placed.size());
+  EXPECT_EQ(Attempt{8}, tasks->placed[1].attempt);
   EXPECT_EQ(JobPhase::cancelled, decode_final(JobId{"job-000412"}, json::parse(final_row))->phase);
-  EXPECT_EQ(Session{2}, decode_machines("m/4", json::parse(machines_row)).at(0).session);
+  EXPECT_EQ(Incarnation{2}, decode_machines("m/4", json::parse(machines_row)).at(0).incarnation);
   EXPECT_TRUE(asks_to_cancel(json::parse(cancel_note)));
   EXPECT_EQ(12U, decode_reach(json::parse(reach_note)));
   EXPECT_EQ("stall-1", decode_leader(json::parse(leader_row)).node);
-  EXPECT_EQ(seconds(16), decode_reign(json::parse(reign_row)));
+  EXPECT_EQ(seconds(16), decode_leadership_record(json::parse(leadership_record_row)));
 }
 
 // Below the gate the new version writes what the old one writes, to the byte.
@@ -75,10 +75,10 @@
   auto job = decode_job_row(json::parse(job_row), Time{}, 0);
   ASSERT_TRUE(job);
   EXPECT_EQ(job_row, encode_job_row(*job).dump());
-  auto tasks = decode_legacy_tasks("p/job-000412/2", json::parse(task_row), size_of_8_kib);
+  auto tasks = decode_v1_tasks("p/job-000412/2", json::parse(task_row), size_of_8_kib);
   ASSERT_TRUE(tasks);
   EXPECT_EQ(task_row, encode_tasks(*tasks).dump());
-  EXPECT_EQ("p/job-000412/2", key_of({RowKind::legacy_tasks, "job-000412", 2}));
+  EXPECT_EQ("p/job-000412/2", key_of({RowKind::tasks_v1, "job-000412", 2}));
   EXPECT_EQ(final_row, encode_final({JobId{"job-000412"}, JobPhase::cancelled, 16, 3}).dump());
   EXPECT_EQ(machines_row, encode_machines(decode_machines("m/4", json::parse(machines_row))).dump());
   EXPECT_EQ(cancel_note, encode_note("stall-1", true).dump());
@@ -94,7 +94,7 @@
   ASSERT_TRUE(read && read->statuses.size() == 2U);
   EXPECT_EQ(3U, read->statuses[0].running);
   // A job that awaits others must not go by the verb that the old version takes without them.
-  EXPECT_FALSE(old_version_takes_verb(static_cast<std::uint8_t>(PeerVerb::submit_chained)));
+  EXPECT_FALSE(old_version_takes_verb(static_cast<std::uint8_t>(PeerVerb::submit_dependent)));
   for (std::size_t n = 0; n < submit.size(); ++n) (void)decode_request(std::string_view{submit}.substr(0, n));
 }
 
@@ -102,29 +102,29 @@
 RC_GTEST_PROP(versions, what_the_version_before_would_misread_it_leaves_alone, ()) {
   Job job;
   job.spec.id = JobId{"job-9"};
-  job.spec.lane = "x";
+  job.spec.job_class = "x";
   job.spec.team = "t";
   job.spec.image = "img";
   const auto n = *rc::gen::inRange(1, 40);
-  for (int i = 0; i < n; ++i) job.spec.awaits.push_back(JobId{"job-" + std::to_string(100 + i)});
+  for (int i = 0; i < n; ++i) job.spec.dependencies.push_back(JobId{"job-" + std::to_string(100 + i)});
   const auto row = encode_job_row(job);
   RC_ASSERT(!old_version_runs(row));
   const auto back = decode_job_row(json::parse(row.dump()), Time{}, 0);
-  RC_ASSERT(back && back->chained && back->spec.awaits == job.spec.awaits);
-  RC_ASSERT(!old_version_runs(encode_piece_names({"7", 3})));
+  RC_ASSERT(back && back->dependent && back->spec.dependencies == job.spec.dependencies);
+  RC_ASSERT(!old_version_runs(encode_chunk_names({"7", 3})));
   RC_ASSERT(job_key(job.spec.id, true).substr(0, 2) != "j/");
 }
 
 RC_GTEST_PROP(versions, a_row_by_number_is_read_by_the_version_before, (const std::set<std::uint16_t>& held)) {
   TaskRow row;
   row.job = JobId{"job-7"};
-  row.legacy = true;
+  row.is_v1 = true;
   row.team = "t";
   row.next_attempt = 3;
-  for (const auto i : held) row.held.push_back({i, Attempt{1}, MachineId{"i-1"}, "a"});
+  for (const auto i : held) row.placed.push_back({i, Attempt{1}, MachineId{"i-1"}, "a"});
   const auto text = json::parse(encode_tasks(row).dump());
   RC_ASSERT(old_version_reads_tasks(text));
-  RC_ASSERT(decode_legacy_tasks("p/job-7/0", text, 100).has_value());
+  RC_ASSERT(decode_v1_tasks("p/job-7/0", text, 100).has_value());
   RC_ASSERT(!decode_tasks("q/job-7/0", text).has_value());  // its run is not said
 }
 
@@ -132,27 +132,27 @@
 RC_GTEST_PROP(versions, a_long_row_is_stored_in_pieces, (const std::string& odd)) {
   Job job;
   job.spec.id = JobId{"job-9"};
-  job.spec.lane = odd.empty() ? "x" : odd;
+  job.spec.job_class = odd.empty() ? "x" : odd;
   job.spec.team = std::string(200, '"');
   job.spec.image = "img";
   job.spec.types = std::vector<std::string>(100, std::string(200, '\\'));
-  for (int i = 0; i < 1500; ++i) job.spec.awaits.push_back(JobId{"job-" + std::to_string(100000 + i)});
+  for (int i = 0; i < 1500; ++i) job.spec.dependencies.push_back(JobId{"job-" + std::to_string(100000 + i)});
   const auto row = encode_job_row(job);
   const std::size_t most = *rc::gen::inRange<std::size_t>(512, 8000);
-  const auto pieces = encode_pieces(row, most);
-  for (const auto& p : pieces) RC_ASSERT(p.dump().size() <= most);
-  const auto back = join_pieces(pieces);
+  const auto chunks = encode_chunks(row, most);
+  for (const auto& p : chunks) RC_ASSERT(p.dump().size() <= most);
+  const auto back = join_chunks(chunks);
   RC_ASSERT(list(back["chained"], "awaits").size() == 1500U);
-  RC_ASSERT(decode_piece_names(encode_piece_names({"7", pieces.size()}))->count == pieces.size());
-  RC_ASSERT(join_pieces({pieces.begin(), pieces.end() - 1}).is_null());
+  RC_ASSERT(decode_chunk_names(encode_chunk_names({"7", chunks.size()}))->count == chunks.size());
+  RC_ASSERT(join_chunks({chunks.begin(), chunks.end() - 1}).is_null());
 }
 
 TEST(versions, the_level_row_says_what_rows_by_number_mean) {
-  const auto row = decode_level(encode_level({this_level, size_of_8_kib}));
+  const auto row = decode_format_version(encode_format_version({current_format_version, size_of_8_kib}));
   ASSERT_TRUE(row);
-  EXPECT_EQ(size_of_8_kib, row->legacy_size);
-  EXPECT_FALSE(decode_level(json::parse(R"({"level":2})")));
-  EXPECT_FALSE(decode_level(json::parse(R"({"level":2,"legacy_size":0})")));
+  EXPECT_EQ(size_of_8_kib, row->v1_row_size);
+  EXPECT_FALSE(decode_format_version(json::parse(R"({"level":2})")));
+  EXPECT_FALSE(decode_format_version(json::parse(R"({"level":2,"legacy_size":0})")));
 }
 
 // Ends are read in runs of neighbours: a page that begins too late would call a job's end absent, one that begins too
@@ -172,16 +172,16 @@
 }
 
 TEST(user_codec, the_list_of_awaited_jobs_is_checked) {
-  const auto with = [](const char* awaits) {
+  const auto with = [](const char* dependencies) {
     return parse_job(
         std::string{R"({"ref":"job-1","lane":"l","crew":"c","shape":"sweep","rank":"high","shards":1,"cpus":1,
       "accelerators":0,"memGb":1,"bundle":"b","pullGb":1,"oneZone":false,"spread":false,"loaners":true,"guessS":1,
       "markEveryS":0,"markCostS":0,"awaits":)"} +
-        awaits + "}");
+        dependencies + "}");
   };
-  for (const char* none : {"null", "[]"}) EXPECT_TRUE(std::get<JobSpec>(with(none)).awaits.empty());
+  for (const char* none : {"null", "[]"}) EXPECT_TRUE(std::get<JobSpec>(with(none)).dependencies.empty());
   EXPECT_EQ((std::vector{JobId{"job-2"}, JobId{"job-3"}}),
-            std::get<JobSpec>(with(R"(["job-3","job-2","job-3"])")).awaits);
+            std::get<JobSpec>(with(R"(["job-3","job-2","job-3"])")).dependencies);
   for (const char* bad : {R"("job-2")", "[1]", R"(["x"])", R"([null])", "{}", "7", R"(["job-"])", R"([["job-2"]])"}) {
     EXPECT_TRUE(std::holds_alternative<BadJob>(with(bad))) << bad;
   }
--- a/tests/relay_test.cpp
+++ b/tests/heartbeat_relay_test.cpp
@@ -1,20 +1,21 @@
+#include "service/heartbeat_relay.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <spdlog/sinks/null_sink.h>
 
 #include "relay/leader_link.hpp"
-#include "relay/worker_share.hpp"
-#include "service/relay_service.hpp"
-#include "wire/report_codec.hpp"
+#include "relay/worker_balancer.hpp"
+#include "wire/heartbeat_codec.hpp"
 #include "wire/worker_codec.hpp"
 
 namespace martenwall {
 namespace {
 
-using relay::Advice;
 using relay::LeaderLink;
 using relay::LinkState;
-using relay::ProbeAnswer;
+using relay::ProbeResult;
+using relay::RoutingAdvice;
 
 Time at(double s) { return Time{seconds(100 + s)}; }
 
@@ -22,35 +23,35 @@
 
 TEST(leader_link, reports_are_held_through_an_election_and_sent_on_when_only_the_link_fails) {
   LeaderLink link{seconds(2)};
-  link.leader_is("a", at(0));
-  EXPECT_EQ(Advice::hold, link.advice());
-  link.probed(ProbeAnswer::leads, at(0.1));
-  EXPECT_EQ(Advice::pass_on, link.advice());
-  link.passed(false, at(10));
-  EXPECT_EQ(LinkState::doubted, link.state());
-  link.probed(ProbeAnswer::nothing, at(11));
-  EXPECT_EQ(Advice::hold, link.advice()) << "a dead leader keeps its lease for so long: another will lead soon";
-  link.leader_is("b", at(12));
-  link.probed(ProbeAnswer::follows, at(12.1));
-  EXPECT_EQ(Advice::hold, link.advice());
-  link.probed(ProbeAnswer::leads, at(12.2));
-  EXPECT_EQ(Advice::pass_on, link.advice());
-  for (const double s : {20.0, 21.0, 22.0, 23.0}) link.probed(ProbeAnswer::nothing, at(s));
-  EXPECT_EQ(Advice::redirect, link.advice()) << "its lease would have ended: it lives, and the link does not";
-  link.probed(ProbeAnswer::leads, at(24));
-  EXPECT_EQ(Advice::pass_on, link.advice());
+  link.set_leader("a", at(0));
+  EXPECT_EQ(RoutingAdvice::hold, link.advice());
+  link.on_probe_result(ProbeResult::leader, at(0.1));
+  EXPECT_EQ(RoutingAdvice::forward, link.advice());
+  link.on_batch_result(false, at(10));
+  EXPECT_EQ(LinkState::suspected, link.state());
+  link.on_probe_result(ProbeResult::none, at(11));
+  EXPECT_EQ(RoutingAdvice::hold, link.advice()) << "a dead leader keeps its lease for so long: another will lead soon";
+  link.set_leader("b", at(12));
+  link.on_probe_result(ProbeResult::follower, at(12.1));
+  EXPECT_EQ(RoutingAdvice::hold, link.advice());
+  link.on_probe_result(ProbeResult::leader, at(12.2));
+  EXPECT_EQ(RoutingAdvice::forward, link.advice());
+  for (const double s : {20.0, 21.0, 22.0, 23.0}) link.on_probe_result(ProbeResult::none, at(s));
+  EXPECT_EQ(RoutingAdvice::redirect, link.advice()) << "its lease would have ended: it lives, and the link does not";
+  link.on_probe_result(ProbeResult::leader, at(24));
+  EXPECT_EQ(RoutingAdvice::forward, link.advice());
 }
 
 TEST(leader_link, an_older_leader_gets_its_workers_itself) {
   LeaderLink link{seconds(2)};
-  link.leader_is("a", at(0));
-  link.probed(ProbeAnswer::old, at(0.1));
-  EXPECT_EQ(Advice::redirect, link.advice());
+  link.set_leader("a", at(0));
+  link.on_probe_result(ProbeResult::unsupported, at(0.1));
+  EXPECT_EQ(RoutingAdvice::redirect, link.advice());
   link.probe_sent(at(0.1));
   EXPECT_FALSE(link.probe_due(at(0.5))) << "nothing waits for the answer";
   EXPECT_TRUE(link.probe_due(at(1.2))) << "it may be replaced by a newer version";
-  link.leader_is("", at(1));
-  EXPECT_EQ(Advice::hold, link.advice());
+  link.set_leader("", at(1));
+  EXPECT_EQ(RoutingAdvice::hold, link.advice());
 }
 
 // Whatever comes, a link that was answered last is used, and one never answered by a leader is not.
@@ -66,17 +67,17 @@
         const std::string next = event == 0 ? "" : *rc::gen::element<std::string>("a", "b");
         if (next != leader) answered = false;
         leader = next;
-        link.leader_is(leader, at(now));
+        link.set_leader(leader, at(now));
       } else if (event < 6) {
-        const auto said = static_cast<ProbeAnswer>(event - 2);
-        link.probed(said, at(now));
-        answered = said == ProbeAnswer::leads && !leader.empty();
+        const auto said = static_cast<ProbeResult>(event - 2);
+        link.on_probe_result(said, at(now));
+        answered = said == ProbeResult::leader && !leader.empty();
       } else {
-        link.passed(false, at(now));
+        link.on_batch_result(false, at(now));
         answered = false;
       }
-      RC_ASSERT((link.advice() == Advice::pass_on) == answered);
-      RC_ASSERT(!leader.empty() || link.advice() == Advice::hold);
+      RC_ASSERT((link.advice() == RoutingAdvice::forward) == answered);
+      RC_ASSERT(!leader.empty() || link.advice() == RoutingAdvice::hold);
     }
   });
 }
@@ -85,25 +86,25 @@
 
 struct Fleet {
   std::vector<std::string> names{"a", "b", "c"};
-  std::vector<relay::WorkerShare> nodes;
+  std::vector<relay::WorkerBalancer> nodes;
   std::vector<std::size_t> workers, room;
   explicit Fleet(std::vector<std::size_t> w, std::vector<std::size_t> r) : workers(std::move(w)), room(std::move(r)) {
     for (const auto& n : names) nodes.emplace_back(n, 0.5);
-    for (auto& n : nodes) n.leader_is("a");
+    for (auto& n : nodes) n.set_leader("a");
   }
   // One second: all tell each other, and each worker reports once.
   std::size_t second(double now, std::size_t& closed) {
     std::size_t moved = 0;
     for (std::size_t i = 0; i < 3; ++i) {
-      for (std::size_t j = 0; j < 3; ++j) nodes[i].heard(names[j], {workers[j], room[j]}, at(now));
+      for (std::size_t j = 0; j < 3; ++j) nodes[i].on_node_load(names[j], {workers[j], room[j]}, at(now));
     }
     const auto before = workers;
     for (std::size_t i = 0; i < 3; ++i) {
       for (std::size_t w = 0; w < before[i]; ++w) {
         const auto p = nodes[i].place(MachineId{names[i] + std::to_string(now) + std::to_string(w)},
                                       {workers[i], room[i]}, at(now + 0.9 * static_cast<double>(w) / 2000));
-        if (p.kind == relay::Placing::Kind::keep_and_close) ++closed;
-        if (p.kind != relay::Placing::Kind::move) continue;
+        if (p.kind == relay::Assignment::Kind::keep_and_close) ++closed;
+        if (p.kind != relay::Assignment::Kind::move) continue;
         ++moved;
         --workers[i];
         ++workers[p.to == "a" ? 0 : p.to == "b" ? 1 : 2];
@@ -113,7 +114,7 @@
   }
 };
 
-TEST(worker_share, a_node_that_holds_nearly_all_sends_them_on_until_each_has_its_part_and_then_none) {
+TEST(worker_balancer, a_node_that_holds_nearly_all_sends_them_on_until_each_has_its_part_and_then_none) {
   Fleet f{{1500, 20, 0}, {1555, 1555, 1555}};
   std::size_t closed = 0;
   std::size_t most = 0;
@@ -128,7 +129,7 @@
   EXPECT_EQ(0U, closed);
 }
 
-TEST(worker_share, full_nodes_send_on_at_once_while_others_have_room_and_close_connections_when_none_has) {
+TEST(worker_balancer, full_nodes_send_on_at_once_while_others_have_room_and_close_connections_when_none_has) {
   Fleet f{{900, 10, 10}, {300, 300, 300}};
   std::size_t closed = 0;
   f.second(0, closed);
@@ -138,42 +139,42 @@
   EXPECT_GT(closed, 0U);
 }
 
-TEST(worker_share, a_node_that_workers_come_back_from_is_left_alone) {
-  relay::WorkerShare share{"b", 0.5};
-  share.heard("a", {0, 1000}, at(0));
+TEST(worker_balancer, a_node_that_workers_come_back_from_is_left_alone) {
+  relay::WorkerBalancer share{"b", 0.5};
+  share.on_node_load("a", {0, 1000}, at(0));
   const MachineId worker{"i-1"};
   const auto first = share.place(worker, {500, 1000}, at(0));
-  ASSERT_EQ(relay::Placing::Kind::move, first.kind);
+  ASSERT_EQ(relay::Assignment::Kind::move, first.kind);
   EXPECT_EQ("a", first.to);
-  share.heard("a", {0, 1000}, at(5));
-  EXPECT_EQ(relay::Placing::Kind::keep, share.place(worker, {500, 1000}, at(5)).kind);
-  EXPECT_EQ(relay::Placing::Kind::keep, share.place(MachineId{"i-2"}, {500, 1000}, at(6)).kind);
-  share.heard("a", {0, 1000}, at(40));
-  EXPECT_EQ(relay::Placing::Kind::move, share.place(MachineId{"i-2"}, {500, 1000}, at(40)).kind);
+  share.on_node_load("a", {0, 1000}, at(5));
+  EXPECT_EQ(relay::Assignment::Kind::keep, share.place(worker, {500, 1000}, at(5)).kind);
+  EXPECT_EQ(relay::Assignment::Kind::keep, share.place(MachineId{"i-2"}, {500, 1000}, at(6)).kind);
+  share.on_node_load("a", {0, 1000}, at(40));
+  EXPECT_EQ(relay::Assignment::Kind::move, share.place(MachineId{"i-2"}, {500, 1000}, at(40)).kind);
 }
 
 // ---- batches ----
 
-std::string encoded(std::vector<WorkerReport> reports) {
-  wire::ReportBatch batch;
+std::string encoded(std::vector<Heartbeat> reports) {
+  wire::HeartbeatBatch batch;
   batch.sender.node = "node";
   batch.sender.room = 9;
-  batch.reports = std::move(reports);
+  batch.heartbeats = std::move(reports);
   return wire::encode_batch(batch);
 }
 
-rc::Gen<WorkerReport> any_report() {
+rc::Gen<Heartbeat> any_report() {
   return rc::gen::exec([] {
-    WorkerReport r;
+    Heartbeat r;
     r.machine = MachineId{"i-" + std::to_string(*rc::gen::inRange(0, 99999))};
     r.addr = *rc::gen::arbitrary<std::string>();
     r.type = *rc::gen::arbitrary<std::string>();
     r.zone = "z";
     r.spot = *rc::gen::arbitrary<bool>();
-    r.session = Session{*rc::gen::arbitrary<std::uint64_t>()};
-    r.tick = Tick{*rc::gen::arbitrary<std::uint64_t>()};
-    r.token = Token{*rc::gen::arbitrary<std::uint64_t>()};
-    if (*rc::gen::arbitrary<bool>()) r.notice_s = *rc::gen::inRange(0, 100);
+    r.incarnation = Incarnation{*rc::gen::arbitrary<std::uint64_t>()};
+    r.sequence = HeartbeatSequence{*rc::gen::arbitrary<std::uint64_t>()};
+    r.token = FencingToken{*rc::gen::arbitrary<std::uint64_t>()};
+    if (*rc::gen::arbitrary<bool>()) r.preemption_notice_s = *rc::gen::inRange(0, 100);
     const int n = *rc::gen::inRange(0, 40);
     for (int i = 0; i < n; ++i) {
       r.tasks.push_back({TaskId{JobId{"job-" + std::to_string(i)}, *rc::gen::arbitrary<std::uint32_t>()},
@@ -186,19 +187,20 @@
 
 TEST(report_codec, what_is_passed_on_comes_out_the_same_and_fits_its_bound) {
   rc::check([] {
-    const auto reports = *rc::gen::container<std::vector<WorkerReport>>(any_report());
+    const auto reports = *rc::gen::container<std::vector<Heartbeat>>(any_report());
     const auto bytes = encoded(reports);
     const auto back = wire::decode_batch(bytes);
     RC_ASSERT(back.has_value());
     RC_ASSERT(back->sender.room == 9U);
-    RC_ASSERT(back->reports.size() == reports.size());
+    RC_ASSERT(back->heartbeats.size() == reports.size());
     std::size_t bound = 64;
     for (std::size_t i = 0; i < reports.size(); ++i) {
       const auto& a = reports[i];
-      const auto& b = back->reports[i];
+      const auto& b = back->heartbeats[i];
       bound += wire::encoded_size(a);
       RC_ASSERT(a.machine == b.machine && a.addr == b.addr && a.type == b.type && a.spot == b.spot);
-      RC_ASSERT(a.session == b.session && a.tick == b.tick && a.token == b.token && a.notice_s == b.notice_s);
+      RC_ASSERT(a.incarnation == b.incarnation && a.sequence == b.sequence && a.token == b.token &&
+                a.preemption_notice_s == b.preemption_notice_s);
       RC_ASSERT(a.tasks.size() == b.tasks.size());
       for (std::size_t t = 0; t < a.tasks.size(); ++t) {
         RC_ASSERT(a.tasks[t].task == b.tasks[t].task && a.tasks[t].attempt == b.tasks[t].attempt);
@@ -218,27 +220,27 @@
     RC_ASSERT(!wire::decode_batch(std::string_view{bytes}.substr(0, cut)));
     RC_ASSERT(!wire::decode_batch(bytes + "x"));
     wire::decode_batch(*rc::gen::arbitrary<std::string>());  // ends, whatever comes
-    wire::decode_answers(*rc::gen::arbitrary<std::string>());
+    wire::decode_responses(*rc::gen::arbitrary<std::string>());
   });
 }
 
 TEST(report_codec, answers_keep_their_orders_and_starts_that_no_worker_reports_are_refused) {
-  const wire::ReportAnswers in{
-      Token{7},
-      {{ReportAnswer::Kind::orders, {{Order::Verb::stop, {JobId{"job-1"}, 4}, Attempt{9}, 2.5}}},
-       {ReportAnswer::Kind::gone, {}}},
+  const wire::HeartbeatResponses in{
+      FencingToken{7},
+      {{HeartbeatResponse::Kind::commands, {{Command::Verb::stop, {JobId{"job-1"}, 4}, Attempt{9}, 2.5}}},
+       {HeartbeatResponse::Kind::released, {}}},
       {{"a", 1, 2}}};
-  const auto out = wire::decode_answers(wire::encode_answers(in));
+  const auto out = wire::decode_responses(wire::encode_responses(in));
   ASSERT_TRUE(out);
-  EXPECT_EQ(Token{7}, out->token);
-  ASSERT_EQ(2U, out->answers.size());
-  ASSERT_EQ(1U, out->answers[0].orders.size());
-  EXPECT_EQ(2.5, out->answers[0].orders[0].grace_s);
-  EXPECT_EQ(4U, out->answers[0].orders[0].task.index);
-  EXPECT_EQ(ReportAnswer::Kind::gone, out->answers[1].kind);
+  EXPECT_EQ(FencingToken{7}, out->token);
+  ASSERT_EQ(2U, out->responses.size());
+  ASSERT_EQ(1U, out->responses[0].commands.size());
+  EXPECT_EQ(2.5, out->responses[0].commands[0].grace_s);
+  EXPECT_EQ(4U, out->responses[0].commands[0].task.index);
+  EXPECT_EQ(HeartbeatResponse::Kind::released, out->responses[1].kind);
   ASSERT_EQ(1U, out->nodes.size());
   EXPECT_EQ(2U, out->nodes[0].room);
-  WorkerReport r;
+  Heartbeat r;
   r.machine = MachineId{"i-1"};
   r.tasks.push_back({TaskId{JobId{"job-1"}, 0}, Attempt{1}, TaskState::sent, ExitCause::none, false});
   EXPECT_FALSE(wire::decode_batch(encoded({r})));
@@ -263,43 +265,43 @@
 
 Policy relaying() {
   Policy p;
-  p.relay_reports = true;
+  p.relay_heartbeats = true;
   return p;
 }
 
 // Everything of a node that reports pass through.
 struct Side {
   Context ctx;
-  StateClient state{ctx};
-  JobRows rows{ctx, state};
-  LevelService levels{ctx, state};
+  StoreClient state{ctx};
+  JobRowStore rows{ctx, state};
+  FormatVersionService levels{ctx, state};
   ConfigurationService configuration{ctx, state};
   LeaderStore store{ctx, state, rows, levels, configuration};
   WorkerService workers{ctx, store};
   bool refuses = false;  // its peers' requests
   bool old_version = false;
   PeerService peers;
-  RelayService relay{ctx, peers, workers};
+  HeartbeatRelay relay{ctx, peers, workers};
   Side(rt::Loop& loop, const config::Settings& s, const std::shared_ptr<spdlog::logger>& log)
       : ctx(loop, s, relaying(), log), peers(ctx, [this](wire::PeerRequest r) { return serve(std::move(r)); }) {}
   rt::Task<wire::PeerReply> serve(wire::PeerRequest r) {
     wire::PeerReply reply{503, "", {}};
     if (refuses) co_return reply;
-    if (r.verb == wire::PeerVerb::reports) co_return co_await relay.on_reports(std::move(r));
+    if (r.verb == wire::PeerVerb::heartbeats) co_return co_await relay.on_heartbeats(std::move(r));
     reply.status = 200;
     if (!old_version) {
-      reply.body = ctx.scheduler != nullptr ? wire::takes_reports : wire::passes_reports;
+      reply.body = ctx.scheduler != nullptr ? wire::accepts_heartbeats : wire::forwards_heartbeats;
     }
     co_return reply;
   }
   void lead(std::uint64_t token) {
-    ctx.leadership.acquired(Token{token}, ctx.loop.refresh());
-    Scheduler::Setup setup;
-    setup.terms = ctx.settings.workers;
-    setup.token = Token{token};
-    ctx.scheduler = std::make_unique<Scheduler>(setup, [](const std::string&) {});
+    ctx.leadership.acquired(FencingToken{token}, ctx.loop.refresh());
+    Scheduler::Options options;
+    options.terms = ctx.settings.workers;
+    options.token = FencingToken{token};
+    ctx.scheduler = std::make_unique<Scheduler>(options, [](const std::string&) {});
     ctx.leadership.loaded(ctx.loop.now());
-    ctx.lease_checked = ctx.loop.now();
+    ctx.lease_checked_at = ctx.loop.now();
     ctx.leader = ctx.settings.node;
   }
 };
@@ -314,13 +316,13 @@
     rt::spawn(leader.peers.serve());
     rt::spawn(other.relay.run());
   }
-  static std::string report(int machine, int tick, int token) {
+  static std::string report(int machine, int sequence, int token) {
     return R"({"host":"i-)" + std::to_string(machine) +
-           R"(","endpoint":"127.0.0.1:9","breed":"g8","yard":"a","tenure":1,"tick":)" + std::to_string(tick) +
+           R"(","endpoint":"127.0.0.1:9","breed":"g8","yard":"a","tenure":1,"tick":)" + std::to_string(sequence) +
            R"(,"baton":)" + std::to_string(token) + R"(,"shards":[]})";
   }
   rt::Task<void> ask(std::string body, std::optional<rt::HttpResponse>& out) {
-    out = co_await other.relay.report(std::move(body));
+    out = co_await other.relay.on_heartbeat(std::move(body));
   }
   rt::HttpResponse answer_of(std::string body) {
     std::optional<rt::HttpResponse> out;
@@ -358,7 +360,7 @@
   const auto r = t.answer_of(Two::report(1, 2, 0));
   EXPECT_EQ(421, r.status);
   EXPECT_NE(std::string::npos, r.body.find("lead")) << "the worker may get through where this node does not";
-  EXPECT_GE(t.other.ctx.turned_away.stranded(t.loop.now()), 1U);
+  EXPECT_GE(t.other.ctx.redirected_workers.stranded(t.loop.now()), 1U);
 }
 
 TEST(relay_service, an_older_leaders_workers_are_redirected_at_once) {
--- a/tests/reach_test.cpp
+++ b/tests/leader_reachability_test.cpp
@@ -1,4 +1,4 @@
-#include "core/reach.hpp"
+#include "core/reachability/leader_reachability.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -9,10 +9,10 @@
 const WorkerTerms terms{3, 19, 50, 4, 39};
 
 // Asks each half second what the leader makes of it; returns when it gives up, if it does.
-std::optional<Time> judged(Hearing& h, Time from, double long_s, std::size_t heard, std::size_t stranded) {
+std::optional<Time> judged(LeaderReachability& h, Time from, double long_s, std::size_t heard, std::size_t stranded) {
   for (Time now = from; now < from + seconds(long_s); now += seconds(0.5)) {
-    if (stranded > 0) h.claim("other", stranded, now);
-    if (h.judge(heard, now)) return now;
+    if (stranded > 0) h.on_stranded_report("other", stranded, now);
+    if (h.should_step_down(heard, now)) return now;
   }
   return std::nullopt;
 }
@@ -20,28 +20,28 @@
 // On the operations days the leader lost the workers' side alone: it renewed its lease and held the fleet
 // until every worker's lease had ended.
 TEST(reach, a_deaf_leader_gives_way_well_before_leases_end) {
-  Hearing h{terms};
-  h.began(Time{seconds(100)});
+  LeaderReachability h{terms};
+  h.on_leadership_began(Time{seconds(100)});
   const Time cut{seconds(200)};
   EXPECT_FALSE(judged(h, cut - seconds(20), 20, 300, 0));
   const auto gave_up = judged(h, cut, 20, 0, 300);
   ASSERT_TRUE(gave_up);
   EXPECT_LT(*gave_up - cut, seconds(terms.lease_s / 3));
-  EXPECT_EQ(HearingState::deaf, h.state());
+  EXPECT_EQ(LeaderReachabilityState::unreachable, h.state());
   EXPECT_GT(h.campaign_delay(*gave_up), Duration{0});
-  h.beat(*gave_up + seconds(1));
+  h.on_heartbeat(*gave_up + seconds(1));
   EXPECT_EQ(Duration{0}, h.campaign_delay(*gave_up + seconds(1)));
 }
 
 // A quiet fleet, a wave of lost machines or a cut that all nodes share leave no worker at another node.
 RC_GTEST_PROP(reach, silence_alone_moves_no_leadership, (const std::vector<std::uint8_t>& heard)) {
-  Hearing h{terms};
+  LeaderReachability h{terms};
   Time now{seconds(100)};
-  h.began(now);
+  h.on_leadership_began(now);
   for (const auto n : heard) {
     now += seconds(0.5);
-    RC_ASSERT(!h.judge(n, now));
-    RC_ASSERT(h.state() == HearingState::hearing);
+    RC_ASSERT(!h.should_step_down(n, now));
+    RC_ASSERT(h.state() == LeaderReachabilityState::reachable);
   }
 }
 
@@ -50,48 +50,48 @@
   const auto here = *rc::gen::inRange<std::size_t>(0, 1500);
   const auto there = *rc::gen::inRange<std::size_t>(0, 1500);
   const Time start{seconds(100)};
-  Hearing a{terms};
-  Hearing b{terms};
-  a.began(start);
-  b.began(start);
+  LeaderReachability a{terms};
+  LeaderReachability b{terms};
+  a.on_leadership_began(start);
+  b.on_leadership_began(start);
   const bool a_gives_up = judged(a, start, 60, here, there).has_value();
   const bool b_gives_up = judged(b, start, 60, there, here).has_value();
   RC_ASSERT(!(a_gives_up && b_gives_up));
 }
 
 TEST(reach, a_new_leader_is_left_time_to_be_found) {
-  Hearing h{terms};
+  LeaderReachability h{terms};
   const Time start{seconds(100)};
-  h.began(start);
+  h.on_leadership_began(start);
   EXPECT_FALSE(judged(h, start, 5, 0, 300));
   EXPECT_FALSE(judged(h, start + seconds(5), 20, 300, 40));
 }
 
 TEST(reach, an_old_claim_does_not_count) {
-  Hearing h{terms};
+  LeaderReachability h{terms};
   const Time start{seconds(100)};
-  h.began(start);
-  h.claim("other", 300, start);
+  h.on_leadership_began(start);
+  h.on_stranded_report("other", 300, start);
   EXPECT_FALSE(judged(h, start + seconds(10), 20, 0, 0));
 }
 
 // A note of stranded workers that the store carried out late, long after it was true.
 TEST(reach, one_claim_alone_ends_no_leadership) {
-  Hearing h{terms};
+  LeaderReachability h{terms};
   const Time start{seconds(100)};
-  h.began(start);
-  h.claim("other", 300, start + seconds(20));
+  h.on_leadership_began(start);
+  h.on_stranded_report("other", 300, start + seconds(20));
   EXPECT_FALSE(judged(h, start + seconds(20), 10, 40, 0));
-  EXPECT_EQ(HearingState::hearing, h.state());
+  EXPECT_EQ(LeaderReachabilityState::reachable, h.state());
 }
 
 // A day of our own: with two of three nodes silent a worker came back after ten seconds, too late to count.
 TEST(reach, a_worker_that_was_sent_on_counts_for_some_seconds) {
-  TurnedAway t;
+  RedirectedWorkers t;
   const Time now{seconds(100)};
-  t.note(MachineId{"i-1"}, now);
-  t.note(MachineId{"i-2"}, now);
-  t.note(MachineId{"i-2"}, now + seconds(4));
+  t.record(MachineId{"i-1"}, now);
+  t.record(MachineId{"i-2"}, now);
+  t.record(MachineId{"i-2"}, now + seconds(4));
   EXPECT_EQ(2U, t.stranded(now + seconds(4)));
   EXPECT_EQ(1U, t.stranded(now + seconds(8)));
   EXPECT_EQ(0U, t.stranded(now + seconds(30)));
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,4 +1,4 @@
-#include "core/leadership.hpp"
+#include "core/leadership/leadership.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -14,8 +14,8 @@
   Leadership l{policy, terms};
   Time now{seconds(50)};
   Time last_sent = now;
-  l.acquired(Token{5}, now);
-  RC_ASSERT(!l.proven(now));
+  l.acquired(FencingToken{5}, now);
+  RC_ASSERT(!l.has_valid_lease(now));
   RC_ASSERT(!l.serves_workers(now));
   l.loaded(now);
   for (const auto& [wait_ms, renew] : steps) {
@@ -27,12 +27,12 @@
     }
     l.tick(now);
     const bool lease_live = now < last_sent + policy.lease_ttl;
-    RC_ASSERT(!l.proven(now) || lease_live);
+    RC_ASSERT(!l.has_valid_lease(now) || lease_live);
     RC_ASSERT(!l.serves_workers(now) || now < last_sent + policy.lease_ttl + l.grace());
     RC_ASSERT(l.state() == LeaderState::leading || l.state() == LeaderState::grace);
   }
   l.lost();
-  RC_ASSERT(!l.proven(now) && !l.serves_workers(now));
+  RC_ASSERT(!l.has_valid_lease(now) && !l.serves_workers(now));
 }
 
 // A cancellation that the old leader cannot see must take effect within cancel_s all the same.
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -10,10 +10,10 @@
 
 TEST(metrics, are_exposed_as_prometheus_reads_them) {
   metrics::Metrics m;
-  m.rounds.observe(seconds(0.003));
-  m.rounds.observe(seconds(0.2));
-  m.count_report(metrics::ReportWay::relayed, 7);
-  metrics::Levels l;
+  m.cycles.observe(seconds(0.003));
+  m.cycles.observe(seconds(0.2));
+  m.count_heartbeat(metrics::HeartbeatPath::relayed, 7);
+  metrics::Gauges l;
   l.leads = true;
   l.worker_connections = 42;
   l.store_queues[0] = {3, 1.5};
@@ -54,8 +54,8 @@
 
 TEST(metrics, a_minutes_line_tells_of_that_minute_only) {
   metrics::Metrics m;
-  m.rounds.observe(seconds(0.004));
-  m.count_report(metrics::ReportWay::here, 5);
+  m.cycles.observe(seconds(0.004));
+  m.count_heartbeat(metrics::HeartbeatPath::local, 5);
   const auto first = m.minute_line({});
   EXPECT_NE(std::string::npos, first.find("rounds 1 of 4.0 ms")) << first;
   EXPECT_NE(std::string::npos, first.find("5 here")) << first;
@@ -73,7 +73,7 @@
   s.state = s.cloud = "127.0.0.1:1";
   s.workers = {3, 19, 50, 4, 39};
   service::Context off{loop, s, Policy{}, log};
-  service::StateClient off_state{off};
+  service::StoreClient off_state{off};
   EXPECT_EQ(0, service::MetricsService(off, off_state, [] { return service::MetricsService::Connections{}; }).port());
 
   // A port that is free now, as the system gives it.
@@ -81,7 +81,7 @@
   Policy on;
   on.metrics_port = port;
   service::Context ctx{loop, s, on, log};
-  service::StateClient state{ctx};
+  service::StoreClient state{ctx};
   service::MetricsService served{ctx, state, [] { return service::MetricsService::Connections{9, 4, 100}; }};
   rt::spawn(served.run());
   rt::HttpClient client{loop, 1, 1024 * 1024, 0};
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -44,8 +44,8 @@
   rt::spawn(p.here.watch_others());
   EXPECT_EQ(PeerService::Others::unreachable, p.here.others());
   rt::spawn(p.other.serve());
-  p.run_until(PeerService::Others::as_stuck);
-  EXPECT_EQ(PeerService::Others::as_stuck, p.here.others());
+  p.run_until(PeerService::Others::equally_cut_off);
+  EXPECT_EQ(PeerService::Others::equally_cut_off, p.here.others());
   p.status = 200;
   p.run_until(PeerService::Others::serving);
   EXPECT_EQ(PeerService::Others::serving, p.here.others());
@@ -68,14 +68,14 @@
   auto other_settings = settings_with({});
   other_settings.cloud = "127.0.0.1:" + std::to_string(cloud.port());
   Context other_ctx{loop, other_settings, Policy{}, log};
-  StateClient other_state{other_ctx};
+  StoreClient other_state{other_ctx};
   CloudService other_cloud{other_ctx, other_state};
-  PeerService other{other_ctx, [&](wire::PeerRequest r) { return other_cloud.on_peer(std::move(r)); }};
+  PeerService other{other_ctx, [&](wire::PeerRequest r) { return other_cloud.on_peer_request(std::move(r)); }};
   rt::spawn(other.serve());
   auto settings = settings_with({{"other", "a", "127.0.0.1:" + std::to_string(other.port())}});
   settings.cloud = "127.0.0.1:1";  // refuses
   Context ctx{loop, settings, Policy{}, log};
-  StateClient state{ctx};
+  StoreClient state{ctx};
   CloudService here{ctx, state};
   PeerService peers{ctx, [](wire::PeerRequest) { return Pair::answer(421); }};
   here.set_peers(peers);
--- a/tests/region/busy.hpp
+++ b/tests/region/busy.hpp
@@ -27,7 +27,7 @@
   }
   // After all troubles: what was not cancelled comes to its end, what was is answered.
   void ends_well(double longest) {
-    r.rules().all_troubles_over(r.now());
+    r.rules().all_faults_over(r.now());
     EXPECT_TRUE(r.run_until(longest, [&] { return r.all_over(); })) << "every accepted job comes to its end";
     r.run(30);
     EXPECT_EQ("", r.breaches());
--- a/tests/region/region.cpp
+++ b/tests/region/region.cpp
@@ -144,7 +144,7 @@
   auto clock = [this, began, rate = 1 + n.drift] { return began + seconds(to_seconds(now_ - began) * rate); };
   n.process = std::make_unique<Process>(clock);
   Policy policy;
-  policy.relay_reports = options_.relay;
+  policy.relay_heartbeats = options_.relay;
   auto log = std::make_shared<spdlog::logger>(n.name, std::make_shared<LogSink>(n.log, now_));
   log->set_level(spdlog::level::debug);  // tests look for what becomes of single tasks
   n.process->node = std::make_unique<service::Node>(n.process->loop, settings_of(c), policy, log);
@@ -168,7 +168,7 @@
   for (std::size_t c = 0; c < controllers_.size(); ++c) {
     const auto& n = controllers_.at(c);
     const bool holds = n.process && wire::decode_leader(*row).node == n.name;
-    if (holds && n.process->node->context().proven()) return c;
+    if (holds && n.process->node->context().has_valid_lease()) return c;
   }
   return std::nullopt;
 }
@@ -263,14 +263,14 @@
 bool Region::could_begin(const Work& work) const {
   const auto& spec = work.spec;
   const auto on = rules_.on_machines(spec.id);
-  const bool awaited_done = std::ranges::all_of(spec.awaits, [&](const JobId& id) {
+  const bool dependencies_done = std::ranges::all_of(spec.dependencies, [&](const JobId& id) {
     const auto& other = rules_.work(id);
-    return other.told_done.has_value();
+    return other.reported_done.has_value();
   });
   const bool fetching = std::ranges::any_of(workers_, [&](const auto& w) { return w->has(spec.id); });
-  const bool whole = spec.shape == Shape::gang;
+  const bool whole = spec.kind == JobKind::gang;
   const bool begins = whole ? fetching : work.completed.size() + on.size() >= spec.tasks;
-  if (begins || !awaited_done || !rules_.within_limit(spec.id, whole ? spec.tasks : 1)) return false;
+  if (begins || !dependencies_done || !rules_.within_limit(spec.id, whole ? spec.tasks : 1)) return false;
   std::map<std::string, std::size_t> places;  // by zone
   for (const auto& w : workers_) {
     const bool allowed =
@@ -296,7 +296,7 @@
 }
 
 void Region::cut_zone(const std::string& zone, std::size_t c, double s) {
-  store_.trouble(c).refuses_until = now_ + seconds(s);
+  store_.faults(c).refuses_until = now_ + seconds(s);
   cut_links(c, s);
   for (auto& w : workers_) {
     if (w->zone() == zone) w->keep_to(c, seconds(s));
@@ -329,7 +329,7 @@
   const std::string number = std::to_string(next_job_++);
   spec.id = JobId{"job-" + std::string(6 - number.size(), '0') + number};
   spec.team = "red";
-  spec.lane = "x";
+  spec.job_class = "x";
   spec.image = "img";
   spec.image_gb = 1;
   spec.estimate_s = run_s;
@@ -388,7 +388,7 @@
     if (r.status == 400 || r.status == 422) rules_.refused_forever(id, r.status, sent, now_);
     if (!taken) co_await loop_.sleep(seconds(1 + roll()));
   }
-  while (!work.told_done && !work.told_cancelled) {
+  while (!work.reported_done && !work.reported_cancelled) {
     co_await loop_.sleep(seconds(2 + 2 * roll()));
     auto& u = users_.at(id);
     co_await poll(id, next_for(u, u.at));
@@ -434,7 +434,7 @@
       ++looks_;
       rt::spawn(poll(id, c));
       if (i % 2 == 0) rt::spawn(repeat(id, c));
-      if (i % 3 == 0 && (work.told_done || work.told_cancelled)) rt::spawn(cancel_once(id, c));
+      if (i % 3 == 0 && (work.reported_done || work.reported_cancelled)) rt::spawn(cancel_once(id, c));
     }
     co_await loop_.sleep(seconds(0.003 + 0.06 * roll() * i));
   }
@@ -444,7 +444,7 @@
   rules_.on_news = [this, cancels](const JobId& id) {
     rt::spawn(look(id));
     const auto& work = rules_.work(id);
-    const bool fresh = !work.told_done && !work.told_cancelled;
+    const bool fresh = !work.reported_done && !work.reported_cancelled;
     if (fresh && cancels > 0 && roll() < cancels) cancel(id, {pick(), pick()});
   };
 }
@@ -473,7 +473,7 @@
 
 rt::Task<void> Region::cancelling(JobId id) {
   auto& work = rules_.works().at(id);
-  while (!work.told_done && !work.told_cancelled) {
+  while (!work.reported_done && !work.reported_cancelled) {
     const Ordinal sent = rules_.sends();
     auto& u = users_.at(id);
     const auto to = next_for(u, u.cancels_at);
@@ -496,13 +496,13 @@
 bool Region::all_over() const {
   const auto& works = rules_.works();
   return std::ranges::all_of(
-      works, [](const auto& w) { return w.second.told_done || w.second.told_cancelled || !w.second.accepted; });
+      works, [](const auto& w) { return w.second.reported_done || w.second.reported_cancelled || !w.second.accepted; });
 }
 
 std::string Region::unfinished() const {
   std::string out;
   for (const auto& [id, w] : rules_.works()) {
-    if (!w.told_done && !w.told_cancelled && w.accepted) {
+    if (!w.reported_done && !w.reported_cancelled && w.accepted) {
       out += id.value() + " " + std::to_string(w.completed.size()) + "/" + std::to_string(w.spec.tasks) + " ";
     }
   }
--- a/tests/region/store.cpp
+++ b/tests/region/store.cpp
@@ -18,12 +18,12 @@
   late_after_ = after;
 }
 
-bool Store::refuses(std::size_t from) { return down() || loop_.now() < troubles_[from].refuses_until; }
+bool Store::refuses(std::size_t from) { return down() || loop_.now() < faults_[from].refuses_until; }
 
 void Store::slow_down(Duration by, Time until) {
-  for (auto& [from, trouble] : troubles_) {
-    trouble.slower = by;
-    trouble.slower_until = until;
+  for (auto& [from, faults] : faults_) {
+    faults.slower = by;
+    faults.slower_until = until;
   }
 }
 
@@ -31,9 +31,9 @@
   tick();
   if (request.target.starts_with(row_path)) ++reads_[request.target.substr(row_path.size())];
   if (refuses(from)) co_return trouble_reply();
-  const auto& trouble = troubles_[from];
-  if (loop_.now() < trouble.slower_until) co_await loop_.sleep(trouble.slower);
-  if (request.target.starts_with("/leases")) co_await loop_.sleep(trouble.leases_slower);
+  const auto& faults = faults_[from];
+  if (loop_.now() < faults.slower_until) co_await loop_.sleep(faults.slower);
+  if (request.target.starts_with("/leases")) co_await loop_.sleep(faults.leases_slower);
   tick();
   if (refuses(from)) co_return trouble_reply();
   if (request.target == "/multi") {
@@ -63,14 +63,14 @@
     ++refused_;
     co_return rt::HttpResponse{429, R"({"error":"too many changes"})", {}, false};
   }
-  const auto& trouble = troubles_[from];
+  const auto& faults = faults_[from];
   const bool writes = !txn.at("then").empty();
-  const bool drawn = writes && loop_.now() < trouble.late_until &&
-                     std::uniform_real_distribution<>{0, 1}(random_) < trouble.late_share;
+  const bool drawn =
+      writes && loop_.now() < faults.late_until && std::uniform_real_distribution<>{0, 1}(random_) < faults.late_share;
   const bool named = writes && which_late_ && which_late_(from, txn);
   if (!drawn && !named) co_return carry_out(txn, false);
   const Duration drawn_after = seconds(std::uniform_real_distribution<>{2, 12}(random_));
-  const Duration after = named ? late_after_ : trouble.at_once ? Duration{0} : drawn_after;
+  const Duration after = named ? late_after_ : faults.at_once ? Duration{0} : drawn_after;
   if (named) which_late_ = nullptr;
   if (after > Duration{0}) {
     rt::spawn(carry_out_late(std::move(txn), after));
--- a/tests/region/store.hpp
+++ b/tests/region/store.hpp
@@ -16,7 +16,7 @@
 using nlohmann::json;
 
 // What the service does to one controller's requests.
-struct StoreTrouble {
+struct StoreFaults {
   Time refuses_until{};  // 503, while the others are served
   Time late_until{};     // share of transactions that get no answer and are carried out late
   double late_share = 0;
@@ -34,7 +34,7 @@
   void fail_for(Duration time) { model_.fail_until(loop_.now() + time); }
   void slow_down(Duration by, Time until);  // for all
   void tick() { model_.tick(loop_.now()); }
-  StoreTrouble& trouble(std::size_t controller) { return troubles_[controller]; }
+  StoreFaults& faults(std::size_t controller) { return faults_[controller]; }
 
   void write(const std::string& key, json value) { model_.write(key, std::move(value)); }  // by someone else
   [[nodiscard]] bool has(const std::string& key) const { return model_.has(key); }
@@ -64,7 +64,7 @@
   rt::Loop& loop_;
   std::mt19937_64 random_;
   stand_ins::StoreModel model_;
-  std::map<std::size_t, StoreTrouble> troubles_;
+  std::map<std::size_t, StoreFaults> faults_;
   std::map<std::string, std::size_t> reads_;
   std::size_t late_ = 0, late_refused_ = 0, refused_ = 0;
   std::function<bool(std::size_t, const json&)> which_late_;
--- a/tests/region/worker.cpp
+++ b/tests/region/worker.cpp
@@ -38,7 +38,7 @@
 
 bool Worker::sound() const {
   const Time now = environment_.loop.now();
-  return up() && now >= std::max({deaf_until_, hangs_until_, cut_until_, kept_until_, silent_until_});
+  return up() && now >= std::max({downlink_lost_until_, hangs_until_, cut_until_, kept_until_, silent_until_});
 }
 
 rt::Task<void> Worker::send_late(std::string body) {
@@ -61,8 +61,9 @@
     }
     model_.reported();
     last_report_ = now;
-    route_.next_report = now + seconds(environment_.world.terms.report_s * (0.75 + 0.5 * environment_.roll()));
-    const auto session = model_.session();
+    route_.next_report =
+        now + seconds(environment_.world.terms.heartbeat_interval_s * (0.75 + 0.5 * environment_.roll()));
+    const auto incarnation = model_.incarnation();
     std::string body = model_.report();
     if (environment_.roll() < environment_.late_reports) {
       std::string copy = body;
@@ -78,25 +79,25 @@
       co_await environment_.loop.sleep(answer_limit);
     }
     while (hangs()) co_await environment_.loop.sleep(look_every);
-    if (environment_.loop.now() < deaf_until_) {
+    if (environment_.loop.now() < downlink_lost_until_) {
       result = {};  // the answer is lost
       co_await environment_.loop.sleep(std::max(Duration{0}, now + answer_limit - environment_.loop.now()));
     }
-    take_answer(result, now, session);
+    take_answer(result, now, incarnation);
   }
 }
 
-void Worker::take_answer(const rt::HttpResult& result, Time sent, std::uint64_t session) {
+void Worker::take_answer(const rt::HttpResult& result, Time sent, std::uint64_t incarnation) {
   const Time now = environment_.loop.now();
   const bool in_time = result.outcome == rt::Outcome::answered && now - sent <= answer_limit;
   const json body = in_time ? json::parse(result.body, nullptr, false) : json{};
   if (!route_.follow(in_time ? result.status : 0, body, environment_.controllers, now)) return;
-  if (model_.take_answer(body, session, sent, now)) renewals_.emplace_back(now, model_.token());
+  if (model_.take_answer(body, incarnation, sent, now)) renewals_.emplace_back(now, model_.token());
 }
 
 rt::Task<rt::HttpResponse> Worker::serve(rt::HttpMessage request) {
   const Time came = environment_.loop.now();
-  const bool lost = !up() || came < deaf_until_ || came < cut_until_ || kept();
+  const bool lost = !up() || came < downlink_lost_until_ || came < cut_until_ || kept();
   if (lost) {
     co_await environment_.loop.sleep(answer_limit);
     co_return rt::HttpResponse{503, "{}", {}, true};
--- a/tests/region/worker.hpp
+++ b/tests/region/worker.hpp
@@ -55,10 +55,12 @@
   [[nodiscard]] std::size_t executed_late() const { return executed_late_; }  // commands, after their sender gave up
   [[nodiscard]] bool hangs() const { return environment_.loop.now() < hangs_until_; }
 
-  void go_deaf(Duration time) { deaf_until_ = environment_.loop.now() + time; }  // answers and commands are lost
-  void hang(Duration time) { hangs_until_ = environment_.loop.now() + time; }    // commands wait meanwhile
+  void lose_downlink(Duration time) {
+    downlink_lost_until_ = environment_.loop.now() + time;
+  }                                                                            // answers and commands are lost
+  void hang(Duration time) { hangs_until_ = environment_.loop.now() + time; }  // commands wait meanwhile
   // It opens no connection to any controller; commands reach it.
-  void go_mute(Duration time) { silent_until_ = environment_.loop.now() + time; }
+  void lose_uplink(Duration time) { silent_until_ = environment_.loop.now() + time; }
   void lose_everyone(Duration time) { cut_until_ = environment_.loop.now() + time; }
   // It reaches this controller alone, and no command reaches it.
   void keep_to(std::size_t controller, Duration time) {
@@ -72,15 +74,15 @@
   rt::Task<void> report_loop();
   rt::Task<void> send_late(std::string body);
   rt::Task<rt::HttpResponse> serve(rt::HttpMessage request);
-  void take_answer(const rt::HttpResult& result, Time sent, std::uint64_t session);
+  void take_answer(const rt::HttpResult& result, Time sent, std::uint64_t incarnation);
   [[nodiscard]] std::string address() const;  // of the controller that it reports to; empty: not reached
   [[nodiscard]] bool kept() const { return environment_.loop.now() < kept_until_; }
 
   Environment& environment_;
   stand_ins::WorkerModel model_;
-  stand_ins::ReportRoute route_;
+  stand_ins::HeartbeatRoute route_;
   Time last_report_{};
-  Time deaf_until_{}, hangs_until_{}, cut_until_{};
+  Time downlink_lost_until_{}, hangs_until_{}, cut_until_{};
   std::optional<Duration> hold_start_;
   Time kept_until_{}, silent_until_{};
   std::size_t kept_ = 0, executed_late_ = 0;
--- a/tests/shortage_test.cpp
+++ b/tests/shortage_test.cpp
@@ -1,7 +1,7 @@
 // A fleet that is wanted for more than it can do: who is served.
 #include <gtest/gtest.h>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 #include "worker_reports.hpp"
 
 namespace martenwall {
@@ -11,19 +11,19 @@
 class Rush {
  public:
   // Machines of eight GPUs; by default a shortage is told apart.
-  explicit Rush(double weight) : Rush(setup(weight), {"g", {64, 8, 512}, 1000, 1, 10, 3, 40, {"a"}}) {}
-  Rush(Scheduler::Setup setup, MachineType type)
-      : s_(std::move(setup), [this](const std::string& line) {
+  explicit Rush(double weight) : Rush(options(weight), {"g", {64, 8, 512}, 1000, 1, 10, 3, 40, {"a"}}) {}
+  Rush(Scheduler::Options options, MachineType type)
+      : s_(std::move(options), [this](const std::string& line) {
           if (line.find("without a place") != std::string::npos) fleet_line_ = line;
         }) {
     gpus_ = type.room.gpus > 0 ? 1 : 0;
     s_.set_types({std::move(type)});
   }
-  static Scheduler::Setup setup(double weight) {
-    Scheduler::Setup u;
+  static Scheduler::Options options(double weight) {
+    Scheduler::Options u;
     u.terms = {1, 19, 50, 4, 39};
     u.teams = {{"red", {}, {0, 1e6, 0}}};
-    u.token = Token{50};
+    u.token = FencingToken{50};
     u.old_leader_until = Time{seconds(1000)};
     u.policy.direct_starts = false;
     u.policy.shortage_weight = weight;
@@ -31,7 +31,7 @@
   }
   void job(int number, std::uint32_t tasks, double run_s, double deadline_s) {
     JobSpec spec;
-    spec.lane = "scan";
+    spec.job_class = "scan";
     spec.tasks = tasks;
     spec.need = {1, gpus_, 1};
     spec.estimate_s = run_s;
@@ -58,10 +58,10 @@
     for (int i = 0; i < for_s; ++i) {
       now_ += seconds(1);
       for (const auto* id : {"i-1", "i-2"}) report(id);
-      s_.round(now_);
+      s_.run_cycle(now_);
       for (auto rows = s_.take_writes(500, true, now_ + seconds(10)); !rows.empty();
            rows = s_.take_writes(500, true, now_ + seconds(10))) {
-        s_.stored(rows, now_);
+        s_.on_rows_stored(rows, now_);
       }
     }
   }
@@ -74,22 +74,22 @@
     Time until{};
   };
   void report(const char* id) {
-    auto r = report_of(id, Tick{++tick_});
+    auto r = report_of(id, HeartbeatSequence{++tick_});
     for (const auto& [task, t] : tasks_[id]) {
       const bool over = now_ >= t.until;
       r.tasks.push_back({task, t.attempt, over ? TaskState::ended : TaskState::running,
                          over ? ExitCause::done : ExitCause::none, false});
     }
-    for (const auto& o : s_.on_report(r, ReportSource::beat, now_, true)) take(id, o);
-    s_.answered(MachineId{id}, now_);
+    for (const auto& o : s_.on_heartbeat(r, StatusSource::heartbeat, now_, true)) take(id, o);
+    s_.on_heartbeat_answered(MachineId{id}, now_);
     for (const auto& [job, end] : ends_) {
       const auto* known = s_.find_job(job);
       if (known != nullptr && known->phase != JobPhase::done) continue;
       if (done_.insert(job).second && now_ <= end) ++in_time_;
     }
   }
-  void take(const char* id, const Order& o) {
-    if (o.verb == Order::Verb::start) {
+  void take(const char* id, const Command& o) {
+    if (o.verb == Command::Verb::start) {
       const double longer = uneven_ && o.task.index < 6 ? 3.0 * o.task.index : 0;
       tasks_[id][o.task] = {o.attempt, now_ + seconds(s_.find_job(o.task.job)->spec.estimate_s + longer)};
     } else {
@@ -149,8 +149,8 @@
   r.job(1, 2000, 18, 300);
   r.run(40);
   JobSpec large;
-  large.lane = "large";
-  large.rank = Rank::best_effort;
+  large.job_class = "large";
+  large.priority = Priority::best_effort;
   large.tasks = 2;
   large.need = {4, 0, 10};
   large.estimate_s = 30;
@@ -158,13 +158,13 @@
   r.run(100);
 }
 
-Scheduler::Setup limited(bool leave, double begin) {
-  auto setup = Rush::setup(40);
-  setup.teams = {{"red", {2, 0, 0}, {6, 0, 0}}};
-  setup.aims.by_lane["large"] = {150};
-  setup.policy.leave_limits = leave;
-  setup.policy.begin_weight = begin;
-  return setup;
+Scheduler::Options limited(bool leave, double begin) {
+  auto options = Rush::options(40);
+  options.teams = {{"red", {2, 0, 0}, {6, 0, 0}}};
+  options.aims.by_class["large"] = {150};
+  options.policy.reserve_limit_headroom = leave;
+  options.policy.begin_weight = begin;
+  return options;
 }
 
 const MachineType four_cpus{"g", {4, 0, 16}, 1000, 1, 0.2, 0.05, 30, {"a"}};
@@ -185,7 +185,7 @@
     Rush r{limited(true, begin), four_cpus};
     r.spread_run_times();
     JobSpec large;
-    large.rank = Rank::best_effort;
+    large.priority = Priority::best_effort;
     large.tasks = 2;
     large.need = {4, 0, 10};
     large.estimate_s = 30;
@@ -199,17 +199,17 @@
 
 // Arrays of thousands in a team of few CPUs want no more than their limit: others of a lower rank are not given up.
 TEST(shortage, what_a_limit_keeps_from_starting_is_not_wanted_of_the_machines) {
-  auto setup = Rush::setup(40);
-  setup.teams = {{"red", {2, 0, 0}, {2, 0, 0}}, {"blue", {2, 0, 0}, {1e6, 0, 0}}};
-  setup.aims.by_lane["later"] = {150};
-  Rush r{setup, four_cpus};
+  auto options = Rush::options(40);
+  options.teams = {{"red", {2, 0, 0}, {2, 0, 0}}, {"blue", {2, 0, 0}, {1e6, 0, 0}}};
+  options.aims.by_class["later"] = {150};
+  Rush r{options, four_cpus};
   r.job(1, 2000, 20, 300);  // late, whatever is done
   r.run(2);
   for (const int i : {2, 3}) {  // the first of them fills the machines
     JobSpec spec;
     spec.team = "blue";
-    spec.lane = "later";
-    spec.rank = Rank::best_effort;
+    spec.job_class = "later";
+    spec.priority = Priority::best_effort;
     spec.tasks = 6;
     spec.need = {1, 0, 1};
     spec.estimate_s = 25;
--- a/tests/simulation.cpp
+++ b/tests/simulation.cpp
@@ -16,7 +16,7 @@
   if (faults_.shortage) {
     policy_.shortage_weight = 40;
     policy_.unsaved_stops = true;
-    policy_.leave_limits = true;
+    policy_.reserve_limit_headroom = true;
     policy_.begin_weight = 9;
   }
   teams_ = {{"red", {0, 16, 0}, {0, 40, 0}}, {"blue", {0, 8, 0}, {0, 24, 0}}};
@@ -28,7 +28,7 @@
     Worker w;
     w.id = MachineId{"i-" + std::to_string(100000 + machine_no_++)};
     w.zone = i % 2 == 0 ? "a" : "b";
-    w.last_ok = w.next_report = w.boots = now_;
+    w.lease_renewed_at = w.next_report = w.boots = now_;
     workers_.emplace(w.id, w);
   }
 }
@@ -45,7 +45,7 @@
   for (auto& n : nodes_) n.frozen_until = std::min(n.frozen_until, now_);
   for (auto& [id, w] : workers_) {
     w.cut_until = std::min(w.cut_until, now_);
-    w.deaf_until = std::min(w.deaf_until, now_);
+    w.downlink_lost_until = std::min(w.downlink_lost_until, now_);
   }
   link_cut_until_ = std::min(link_cut_until_, now_);
 }
@@ -77,7 +77,7 @@
   const double s = to_seconds(dt);
   if (!gate_ && roll() < faults_.gate * s) {
     gate_ = std::ranges::any_of(nodes_, [&](const Node& n) {
-      return n.scheduler != nullptr && n.leadership->proven(now_) && lead_ == n.leadership->token();
+      return n.scheduler != nullptr && n.leadership->has_valid_lease(now_) && lead_ == n.leadership->token();
     });
     if (gate_) gate_token_ = lead_;
   }
@@ -101,7 +101,7 @@
   }
   if (faults_.relays && roll() < faults_.link_cut * s) link_cut_until_ = now_ + seconds(between(1, 40));
   for (auto& [id, w] : workers_) {
-    if (faults_.deaf > 0 && roll() < faults_.deaf * s) w.deaf_until = now_ + seconds(between(3, 120));
+    if (faults_.deaf > 0 && roll() < faults_.deaf * s) w.downlink_lost_until = now_ + seconds(between(3, 120));
     if (roll() < faults_.worker_cut * s) w.cut_until = now_ + seconds(between(2, 60));
     if (roll() < faults_.machine_death * s) {
       w.alive = false;
@@ -121,24 +121,24 @@
 // ---- controllers ----
 
 void World::load(Node& n) {
-  Scheduler::Setup setup;
-  setup.policy = policy_;
-  setup.terms = terms_;
-  setup.teams = teams_;
-  setup.token = *lead_;
-  setup.old_leader_until = now_ + n.leadership->grace() + policy_.margin;
-  setup.spans = gate_;
-  setup.legacy_size = 7;
-  setup.span_size = 5;
+  Scheduler::Options options;
+  options.policy = policy_;
+  options.terms = terms_;
+  options.teams = teams_;
+  options.token = *lead_;
+  options.old_leader_until = now_ + n.leadership->grace() + policy_.margin;
+  options.range_rows = gate_;
+  options.v1_row_size = 7;
+  options.range_size = 5;
   n.row_limit = 1000;
   n.rows_at_once = 6;
-  n.scheduler = std::make_unique<Scheduler>(setup, [this](const std::string& line) {
+  n.scheduler = std::make_unique<Scheduler>(options, [this](const std::string& line) {
     if (trace) trace(std::to_string(to_seconds(now_.time_since_epoch())) + " " + line);
   });
   for (const auto& [id, s] : stored_jobs_) {
     if (!s.final) n.scheduler->load_job(s.job, now_);
   }
-  for (const auto& [group, row] : stored_facts_) {
+  for (const auto& [group, row] : stored_machines_) {
     for (const auto& facts : row) n.scheduler->load_machine(facts, now_);
   }
   // Those that begin last first; then those by number.
@@ -146,7 +146,7 @@
     if (it->first.kind == RowKind::tasks) n.scheduler->load_tasks(it->second, now_);
   }
   for (const auto& [key, row] : stored_tasks_) {
-    if (key.kind == RowKind::legacy_tasks) n.scheduler->load_tasks(row, now_);
+    if (key.kind == RowKind::tasks_v1) n.scheduler->load_tasks(row, now_);
   }
   n.scheduler->finish_load(now_);
   n.scheduler->set_types(types_);
@@ -158,17 +158,17 @@
     at(now_ + seconds(between(wire_low, 0.5)), [this, &n, life = n.life, id] {
       if (n.life != life || n.scheduler == nullptr) return;
       const auto it = stored_jobs_.find(id);
-      if (now_ < n.cut_until || now_ < n.frozen_until || it == stored_jobs_.end()) return n.scheduler->ask_again(id);
-      if (it->second.final) return n.scheduler->on_end_found(id, it->second.job.phase, now_);
+      if (now_ < n.cut_until || now_ < n.frozen_until || it == stored_jobs_.end()) return n.scheduler->retry_lookup(id);
+      if (it->second.final) return n.scheduler->on_end_looked_up(id, it->second.job.phase, now_);
       n.scheduler->add_job(it->second.job, now_);
-      n.scheduler->ask_again(id);
+      n.scheduler->retry_lookup(id);
     });
   }
 }
 
 void World::take_lead(Node& n) {
   ++takeovers_;
-  lead_ = Token{++revision_};
+  lead_ = FencingToken{++revision_};
   lead_until_ = now_ + policy_.lease_ttl;
   n.leadership = std::make_unique<Leadership>(policy_, terms_);
   n.leadership->acquired(*lead_, now_);
@@ -203,19 +203,19 @@
     n.leadership->renewed(now_, now_);
   }
   n.leadership->tick(now_);
-  if (!n.leadership->proven(now_)) {
+  if (!n.leadership->has_valid_lease(now_)) {
     n.scheduler->expire(now_);
     return;
   }
   if (now_ >= n.next_round) {
-    n.next_round = now_ + policy_.round;
-    n.scheduler->round(now_);
+    n.next_round = now_ + policy_.cycle_interval;
+    n.scheduler->run_cycle(now_);
   }
-  if (gate_) n.scheduler->use_spans(now_);
+  if (gate_) n.scheduler->use_range_rows(now_);
   look_up(n);
   if (n.flushing < 3 && n.scheduler->has_writes(true, now_)) flush(n);
-  for (auto& batch : n.scheduler->take_direct(now_)) send_direct(n, std::move(batch));
-  for (const auto& request : n.scheduler->take_hires()) {
+  for (auto& batch : n.scheduler->take_command_batches(now_)) send_direct(n, std::move(batch));
+  for (const auto& request : n.scheduler->take_scale_out_requests()) {
     note("hire " + request.name + " " + std::to_string(request.count) + " " + request.zone +
          (request.spot ? " spot" : ""));
     if (!hire_names_.insert(request.name).second) breach("hire name reused: " + request.name);
@@ -226,21 +226,21 @@
         w.id = MachineId{"i-" + std::to_string(100000 + machine_no_++)};
         w.zone = request.zone;
         w.spot = request.spot;
-        w.boots = w.next_report = w.last_ok = now_ + seconds(between(1, 30));
+        w.boots = w.next_report = w.lease_renewed_at = now_ + seconds(between(1, 30));
         ids.push_back(w.id);
         workers_.emplace(w.id, w);
       }
       // The answer can be lost: the machines then turn up by themselves.
       if (roll() < 0.1) ids.clear();
     }
-    n.scheduler->on_hired(request, ids, now_);
+    n.scheduler->on_scale_out_granted(request, ids, now_);
   }
-  const auto releases = n.scheduler->take_releases(now_);
+  const auto releases = n.scheduler->take_scale_in(now_);
   for (const auto& id : releases) {
     note("release " + id.value());
     workers_.erase(id);
   }
-  if (!releases.empty()) n.scheduler->on_released(releases, now_);
+  if (!releases.empty()) n.scheduler->on_machines_released(releases, now_);
 }
 
 // Rows that the node knows to be too large are divided and not sent.
@@ -249,7 +249,7 @@
   std::erase_if(rows, [&](const RowWrite& row) {
     if (size_of(row) <= n.row_limit) return false;
     ++divided_;
-    n.scheduler->divide(row, now_);
+    n.scheduler->split_row(row, now_);
     return true;
   });
   return rows;
@@ -285,19 +285,19 @@
     if (s.job.phase == JobPhase::done && completed_[id].size() != s.job.spec.tasks) breach("not_done " + row.key.id);
   } else if (row.tasks) {
     // One that was under way when the gate was passed may still arrive, but no later leader writes any.
-    const bool by_number = row.key.kind == RowKind::legacy_tasks;
+    const bool by_number = row.key.kind == RowKind::tasks_v1;
     if (by_number && gate_ && lead_ != gate_token_) breach("a row by number was written: " + row.key.id);
     stored_tasks_.insert_or_assign(row.key, *row.tasks);
-  } else if (!row.facts.empty()) {
-    stored_facts_.insert_or_assign(row.key.part, row.facts);
-  } else if (row.key.kind != RowKind::facts) {
+  } else if (!row.machines.empty()) {
+    stored_machines_.insert_or_assign(row.key.part, row.machines);
+  } else if (row.key.kind != RowKind::machines) {
     stored_tasks_.erase(row.key);
   } else {
-    stored_facts_.erase(row.key.part);
+    stored_machines_.erase(row.key.part);
   }
 }
 
-void World::apply(Node& n, std::uint64_t life, Token token, const std::vector<RowWrite>& rows) {
+void World::apply(Node& n, std::uint64_t life, FencingToken token, const std::vector<RowWrite>& rows) {
   // What is too large is refused whatever the conditions are.
   const bool too_large =
       rows.size() > rows_at_once_ || std::ranges::any_of(rows, [&](const auto& r) { return size_of(r) > row_limit_; });
@@ -316,77 +316,78 @@
       n.row_limit = std::max<std::size_t>(2, std::min(n.row_limit / 2, row_limit_));
       n.rows_at_once = 3;
       n.scheduler->set_row_sizes(3, 25);
-      return n.scheduler->put_back(rows, seconds(0.05), now_);
+      return n.scheduler->requeue_writes(rows, seconds(0.05), now_);
     }
     take_answer(n, rows);
   });
 }
 
 void World::take_answer(Node& n, const std::vector<RowWrite>& rows) {
-  n.scheduler->stored(rows, now_);
+  n.scheduler->on_rows_stored(rows, now_);
   std::erase_if(n.cancels, [&](const auto& id) {
     const auto& s = stored_jobs_.at(id);
     if (!s.final) return false;
-    if (s.job.phase == JobPhase::cancelled) told_cancelled_.emplace(id, now_);
+    if (s.job.phase == JobPhase::cancelled) reported_cancelled_.emplace(id, now_);
     return true;
   });
 }
 
-void World::send_direct(Node& n, DirectBatch batch) {
-  note("command " + batch.machine.value(), batch.orders);
+void World::send_direct(Node& n, CommandBatch batch) {
+  note("command " + batch.machine.value(), batch.commands);
   const bool held = faulty_ && roll() < faults_.held_command;
   const Time arrives = now_ + seconds(held ? between(3, 150) : between(wire_low, wire_high));
   const auto token = n.leadership->token();
   const auto life = n.life;
   const bool answer_lost = faulty_ && roll() < faults_.lost_answer;
   at(arrives, [this, &n, life, token, batch, held, answer_lost] {
-    WorkerReport report;
+    Heartbeat report;
     const auto outcome = deliver_direct(token, batch, report);
     if (held || answer_lost || n.life != life || n.scheduler == nullptr) return;
     at(std::max(now_, n.frozen_until), [this, &n, life, batch, outcome, report] {
       if (n.life != life || n.scheduler == nullptr) return;
-      n.scheduler->on_direct(batch, outcome.value_or(DirectOutcome::unknown), now_);
-      if (outcome) n.scheduler->on_report(report, ReportSource::direct, now_, n.leadership->proven(now_));
+      n.scheduler->on_command_outcome(batch, outcome.value_or(CommandOutcome::unknown), now_);
+      if (outcome)
+        n.scheduler->on_heartbeat(report, StatusSource::command_reply, now_, n.leadership->has_valid_lease(now_));
     });
   });
 }
 
-std::optional<DirectOutcome> World::deliver_direct(Token token, const DirectBatch& batch, WorkerReport& report) {
+std::optional<CommandOutcome> World::deliver_direct(FencingToken token, const CommandBatch& batch, Heartbeat& report) {
   const auto it = workers_.find(batch.machine);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.boots || now_ < it->second.cut_until ||
-      now_ < it->second.deaf_until) {
+      now_ < it->second.downlink_lost_until) {
     return std::nullopt;
   }
   Worker& w = it->second;
-  const bool stale = token < w.token || batch.session != w.session;
+  const bool needs_cycle = token < w.token || batch.incarnation != w.incarnation;
   w.token = std::max(w.token, token);
-  if (!stale) execute(w, batch.orders);
+  if (!needs_cycle) execute(w, batch.commands);
   report = report_of(w);
-  return stale ? DirectOutcome::refused : DirectOutcome::executed;
+  return needs_cycle ? CommandOutcome::refused : CommandOutcome::executed;
 }
 
 // ---- workers ----
 
-WorkerReport World::report_of(Worker& w) {
-  w.tick = Tick{w.tick.value() + 1};
-  WorkerReport r;
+Heartbeat World::report_of(Worker& w) {
+  w.tick = HeartbeatSequence{w.tick.value() + 1};
+  Heartbeat r;
   r.machine = w.id;
   r.addr = "10.0.0.1:1";
   r.type = "big";
   r.zone = w.zone;
   r.spot = w.spot;
-  r.session = w.session;
-  r.tick = w.tick;
+  r.incarnation = w.incarnation;
+  r.sequence = w.tick;
   r.token = w.token;
   for (const auto& [key, t] : w.tasks) r.tasks.push_back({key.first, key.second, t.state, t.cause, false});
   return r;
 }
 
 void World::step_worker(Worker& w) {
-  if (now_ - w.last_ok > seconds(terms_.lease_s)) {
+  if (now_ - w.lease_renewed_at > seconds(terms_.lease_s)) {
     w.tasks.clear();
-    w.session = Session{w.session.value() + 1};
-    w.last_ok = now_;
+    w.incarnation = Incarnation{w.incarnation.value() + 1};
+    w.lease_renewed_at = now_;
     w.waiting_since.reset();
   }
   if (w.waiting_since && now_ - *w.waiting_since > seconds(4)) {
@@ -400,7 +401,7 @@
 
 void World::send_report(Worker& w) {
   w.waiting_since = now_;
-  w.next_report = now_ + seconds(between(0.75, 1.25) * terms_.report_s);
+  w.next_report = now_ + seconds(between(0.75, 1.25) * terms_.heartbeat_interval_s);
   const auto no = ++w.report_no;
   const auto report = report_of(w);
   const bool held = faulty_ && roll() < faults_.held_report;
@@ -412,7 +413,7 @@
   at(now_ + seconds(between(1, 3 * terms_.lease_s)), [this, other, report, no] { receive_report(other, report, no); });
 }
 
-void World::receive_report(std::size_t node, const WorkerReport& report, std::uint64_t no) {
+void World::receive_report(std::size_t node, const Heartbeat& report, std::uint64_t no) {
   Node& n = nodes_.at(node);
   if (now_ < n.down_until) return;
   if (now_ < n.frozen_until) {
@@ -427,8 +428,8 @@
   const Answer a = answer_of(n, report);
   if (faulty_ && roll() < faults_.lost_answer) return;
   const Time back = now_ + seconds(between(wire_low, wire_high));
-  at(back, [this, id = report.machine, no, session = report.session, a] {
-    receive_answer(id, no, session, a.ok, a.token, a.orders);
+  at(back, [this, id = report.machine, no, incarnation = report.incarnation, a] {
+    receive_answer(id, no, incarnation, a.ok, a.token, a.commands);
   });
 }
 
@@ -436,24 +437,24 @@
   if (decided) decided(std::to_string(now_.time_since_epoch().count()) + " " + what);
 }
 
-void World::note(const std::string& what, const std::vector<Order>& orders) const {
+void World::note(const std::string& what, const std::vector<Command>& commands) const {
   if (!decided) return;
   std::string out = what;
-  for (const auto& o : orders) {
+  for (const auto& o : commands) {
     out += " " + std::to_string(static_cast<int>(o.verb)) + ":" + o.task.job.value() + "/" +
            std::to_string(o.task.index) + "#" + std::to_string(o.attempt.value()) + "~" + std::to_string(o.grace_s);
   }
   note(out);
 }
 
-World::Answer World::answer_of(Node& n, const WorkerReport& report) {
+World::Answer World::answer_of(Node& n, const Heartbeat& report) {
   Answer a;
   if (n.scheduler != nullptr && report.token > n.leadership->token()) step_down(n);
-  if (n.scheduler != nullptr && n.leadership->serves_workers(now_) && !n.scheduler->is_gone(report.machine)) {
-    a.orders = n.scheduler->on_report(report, ReportSource::beat, now_, n.leadership->proven(now_));
-    if (n.scheduler->leaves_unanswered(report.machine)) return {};
-    n.scheduler->answered(report.machine, now_);
-    note("answer " + report.machine.value(), a.orders);
+  if (n.scheduler != nullptr && n.leadership->serves_workers(now_) && !n.scheduler->is_released(report.machine)) {
+    a.commands = n.scheduler->on_heartbeat(report, StatusSource::heartbeat, now_, n.leadership->has_valid_lease(now_));
+    if (n.scheduler->must_not_be_answered(report.machine)) return {};
+    n.scheduler->on_heartbeat_answered(report.machine, now_);
+    note("answer " + report.machine.value(), a.commands);
     a.token = n.leadership->token();
     a.ok = true;
   }
@@ -504,16 +505,16 @@
   }
   if (!handed_out_.emplace(r.report.machine, r.no).second) return;
   if (a.ok) ++relayed_;
-  receive_answer(r.report.machine, r.no, r.report.session, a.ok, a.token, a.orders);
+  receive_answer(r.report.machine, r.no, r.report.incarnation, a.ok, a.token, a.commands);
 }
 
-void World::receive_answer(const MachineId& id, std::uint64_t no, Session session, bool ok, Token token,
-                           const std::vector<Order>& orders) {
+void World::receive_answer(const MachineId& id, std::uint64_t no, Incarnation incarnation, bool ok, FencingToken token,
+                           const std::vector<Command>& commands) {
   const auto it = workers_.find(id);
   if (it == workers_.end()) return;
   Worker& w = it->second;
-  if (!w.alive || !w.waiting_since || no != w.report_no || session != w.session || now_ < w.cut_until ||
-      now_ < w.deaf_until) {
+  if (!w.alive || !w.waiting_since || no != w.report_no || incarnation != w.incarnation || now_ < w.cut_until ||
+      now_ < w.downlink_lost_until) {
     return;
   }
   const Time sent = *w.waiting_since;
@@ -526,17 +527,17 @@
   if (token < w.token) return;
   if (token > w.token) w.next_report = std::min(w.next_report, now_ + seconds(0.5));
   w.token = token;
-  w.last_ok = sent;
-  execute(w, orders);
+  w.lease_renewed_at = sent;
+  execute(w, commands);
 }
 
-void World::execute(Worker& w, const std::vector<Order>& orders) {
-  for (const auto& o : orders) {
+void World::execute(Worker& w, const std::vector<Command>& commands) {
+  for (const auto& o : commands) {
     const TaskKey key{o.task, o.attempt};
     const auto it = w.tasks.find(key);
-    if (o.verb == Order::Verb::forget) {
+    if (o.verb == Command::Verb::forget) {
       if (it != w.tasks.end() && it->second.state == TaskState::ended) w.tasks.erase(it);
-    } else if (o.verb == Order::Verb::stop) {
+    } else if (o.verb == Command::Verb::stop) {
       if (it == w.tasks.end() || it->second.state == TaskState::ended) continue;
       auto& t = it->second;
       if (t.state == TaskState::running && o.grace_s >= 3) {
@@ -571,7 +572,7 @@
   ++started_;
   const auto& spec = spec_of(key.first.job);
   if (w.spot && !spec.spot) breach("wrong_place: spot " + to_string(key.first));
-  for (const auto& id : spec.awaits) {
+  for (const auto& id : spec.dependencies) {
     const auto& other = stored_jobs_.at(id);
     if (!other.final || other.job.phase != JobPhase::done) breach("too_early " + to_string(key.first));
   }
@@ -589,11 +590,11 @@
   for (auto& [key, t] : w.tasks) {
     const auto& spec = spec_of(key.first.job);
     if (t.state == TaskState::fetching && now_ >= t.until) {
-      t.state = spec.shape == Shape::gang ? TaskState::waiting : TaskState::running;
+      t.state = spec.kind == JobKind::gang ? TaskState::waiting : TaskState::running;
       t.since = now_;
       t.until = now_ + seconds(completed_[key.first.job].contains(key.first.index) ? 0 : between(2, 40));
       start_on(w, key, t);
-    } else if (t.state == TaskState::running && spec.shape == Shape::array && now_ >= t.until) {
+    } else if (t.state == TaskState::running && spec.kind == JobKind::array && now_ >= t.until) {
       const bool error = faulty_ && roll() < faults_.task_error;
       t.state = TaskState::ended;
       t.cause = error ? ExitCause::error : ExitCause::done;
@@ -615,7 +616,7 @@
   std::map<std::pair<JobId, Attempt>, std::vector<std::pair<TaskId, WorkTask*>>> gangs;
   for (auto& [id, w] : workers_) {
     for (auto& [key, t] : w.tasks) {
-      if (spec_of(key.first.job).shape == Shape::gang) gangs[{key.first.job, key.second}].emplace_back(key.first, &t);
+      if (spec_of(key.first.job).kind == JobKind::gang) gangs[{key.first.job, key.second}].emplace_back(key.first, &t);
     }
   }
   for (auto& [gang, tasks] : gangs) {
@@ -655,12 +656,12 @@
 
 // Is any job cancelled that this one needs, directly or through others?
 bool World::needs_cancelled(const JobId& id, const std::function<bool(const JobId&)>& cancelled) const {
-  std::vector<JobId> left = spec_of(id).awaits;
+  std::vector<JobId> left = spec_of(id).dependencies;
   while (!left.empty()) {
     const JobId next = left.back();
     left.pop_back();
     if (cancelled(next)) return true;
-    const auto& more = spec_of(next).awaits;
+    const auto& more = spec_of(next).dependencies;
     left.insert(left.end(), more.begin(), more.end());
   }
   return false;
@@ -669,7 +670,7 @@
 void World::users() {
   Node* leader = nullptr;
   for (auto& n : nodes_) {
-    if (n.scheduler != nullptr && n.leadership->proven(now_) && now_ >= n.down_until && now_ >= n.frozen_until)
+    if (n.scheduler != nullptr && n.leadership->has_valid_lease(now_) && now_ >= n.down_until && now_ >= n.frozen_until)
       leader = &n;
   }
   if (leader == nullptr || !faulty_) return;
@@ -689,27 +690,28 @@
 void World::submit(Node& leader) {
   JobSpec s;
   s.id = JobId{"job-" + std::to_string(job_no_++)};
-  s.lane = "x";
+  s.job_class = "x";
   s.team = roll() < 0.5 ? "red" : "blue";
-  s.shape = roll() < 0.5 ? Shape::gang : Shape::array;
-  s.rank = static_cast<Rank>(random_() % 4);
-  s.tasks = 1 + static_cast<std::uint32_t>(random_() % (s.shape == Shape::gang ? 3 : 12));
-  s.need = {4, s.shape == Shape::gang ? 4.0 : 1.0, 8};
+  s.kind = roll() < 0.5 ? JobKind::gang : JobKind::array;
+  s.priority = static_cast<Priority>(random_() % 4);
+  s.tasks = 1 + static_cast<std::uint32_t>(random_() % (s.kind == JobKind::gang ? 3 : 12));
+  s.need = {4, s.kind == JobKind::gang ? 4.0 : 1.0, 8};
   s.image = "img";
   s.image_gb = 1;
   s.one_zone = roll() < 0.4;
   s.spot = roll() < 0.5;
   s.estimate_s = 20;
-  s.save_s = faults_.shortage ? 6 : 3;  // beside checkpoints each 10 s the saving costs more than it saves
-  s.checkpoint_s = roll() < 0.5 ? 10 : 0;
+  s.checkpoint_duration_s =
+      faults_.shortage ? 6 : 3;  // beside checkpoints each 10 s the saving costs more than it saves
+  s.checkpoint_interval_s = roll() < 0.5 ? 10 : 0;
   if (roll() < 0.5) s.deadline_s = 100;
-  s.awaits = some_earlier_jobs();
+  s.dependencies = some_earlier_jobs();
   submitted_.emplace(s.id, s);
   Job job;
   job.spec = s;
   job.submitted = now_;
   // What is done already is no longer waited for.
-  std::erase_if(job.spec.awaits, [&](const JobId& id) {
+  std::erase_if(job.spec.dependencies, [&](const JobId& id) {
     return stored_jobs_.at(id).final && stored_jobs_.at(id).job.phase == JobPhase::done;
   });
   stored_jobs_[s.id] = {job, false};
@@ -730,19 +732,19 @@
       if (!on_machine(t)) continue;
       const auto& spec = spec_of(key.first.job);
       used[spec.team] += spec.need.gpus;
-      const auto c = told_cancelled_.find(key.first.job);
-      if (c != told_cancelled_.end() && now_ - c->second > seconds(terms_.cancel_s))
+      const auto c = reported_cancelled_.find(key.first.job);
+      if (c != reported_cancelled_.end() && now_ - c->second > seconds(terms_.cancel_s))
         breach("ran_cancelled " + to_string(key.first));
     }
   }
   // What a leader calls active: nothing that it needs was told to be cancelled so long ago.
   const Duration bound = seconds(terms_.cancel_s);
   const auto told_long_ago = [&](const JobId& id) {
-    const auto c = told_cancelled_.find(id);
-    return c != told_cancelled_.end() && now_ - c->second > bound;
+    const auto c = reported_cancelled_.find(id);
+    return c != reported_cancelled_.end() && now_ - c->second > bound;
   };
   for (const auto& n : nodes_) {
-    if (n.scheduler == nullptr || !n.leadership->proven(now_) || now_ < n.frozen_until) continue;
+    if (n.scheduler == nullptr || !n.leadership->has_valid_lease(now_) || now_ < n.frozen_until) continue;
     for (const auto& [id, job] : n.scheduler->jobs()) {
       const auto status = n.scheduler->status(id);
       if (status && !is_final(status->phase) && now_ - job.submitted > bound && needs_cancelled(id, told_long_ago)) {
--- a/tests/simulation.hpp
+++ b/tests/simulation.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "core/leadership.hpp"
-#include "core/scheduler.hpp"
+#include "core/leadership/leadership.hpp"
+#include "core/scheduler/scheduler.hpp"
 
 namespace martenwall::sim {
 
@@ -75,10 +75,10 @@
     MachineId id;
     std::string zone;
     bool spot = false, alive = true;
-    Session session{1};
-    Tick tick{0};
-    Token token{0};
-    Time last_ok{}, next_report{}, cut_until{}, deaf_until{}, boots{};
+    Incarnation incarnation{1};
+    HeartbeatSequence tick{0};
+    FencingToken token{0};
+    Time lease_renewed_at{}, next_report{}, cut_until{}, downlink_lost_until{}, boots{};
     std::optional<Time> waiting_since;  // a report is in flight
     std::uint64_t report_no = 0;
     std::size_t target = 0;
@@ -107,7 +107,7 @@
   void take_lead(Node& n);
   void step_down(Node& n);
   void flush(Node& n);
-  void apply(Node& n, std::uint64_t life, Token token, const std::vector<RowWrite>& rows);
+  void apply(Node& n, std::uint64_t life, FencingToken token, const std::vector<RowWrite>& rows);
   void apply_row(const RowWrite& row);
   void load(Node& n);
   void look_up(Node& n);
@@ -117,40 +117,40 @@
   [[nodiscard]] std::vector<JobId> some_earlier_jobs();
   [[nodiscard]] bool needs_cancelled(const JobId& id, const std::function<bool(const JobId&)>& cancelled) const;
   [[nodiscard]] static std::size_t size_of(const RowWrite& row) {
-    return row.tasks ? row.tasks->held.size() + row.tasks->done.size() : 0;
+    return row.tasks ? row.tasks->placed.size() + row.tasks->done.size() : 0;
   }
-  void send_direct(Node& n, DirectBatch batch);
-  std::optional<DirectOutcome> deliver_direct(Token token, const DirectBatch& batch, WorkerReport& report);
+  void send_direct(Node& n, CommandBatch batch);
+  std::optional<CommandOutcome> deliver_direct(FencingToken token, const CommandBatch& batch, Heartbeat& report);
   void step_worker(Worker& w);
   void send_report(Worker& w);
-  void receive_report(std::size_t node, const WorkerReport& report, std::uint64_t report_no);
+  void receive_report(std::size_t node, const Heartbeat& report, std::uint64_t report_no);
   struct Relayed {
     std::size_t by = 0;  // the node that the worker reported to
-    WorkerReport report;
+    Heartbeat report;
     std::uint64_t no = 0;
     Time until{};
   };
   struct Answer {
     bool ok = false;
-    Token token;
-    std::vector<Order> orders;
+    FencingToken token;
+    std::vector<Command> commands;
   };
-  Answer answer_of(Node& n, const WorkerReport& report);
+  Answer answer_of(Node& n, const Heartbeat& report);
   void relay(const Relayed& r);
   void receive_relayed(const Relayed& r);
   void hand_out(const Relayed& r, const Answer& answer);
   [[nodiscard]] double link_delay() { return roll() < faults_.slow_batch ? between(0.3, 6) : between(wire_low, 0.05); }
-  void receive_answer(const MachineId& id, std::uint64_t no, Session session, bool ok, Token token,
-                      const std::vector<Order>& orders);
-  void execute(Worker& w, const std::vector<Order>& orders);
+  void receive_answer(const MachineId& id, std::uint64_t no, Incarnation incarnation, bool ok, FencingToken token,
+                      const std::vector<Command>& commands);
+  void execute(Worker& w, const std::vector<Command>& commands);
   void step_tasks(Worker& w);
   void step_gangs();
   void start_on(Worker& w, const TaskKey& key, WorkTask& t);
-  WorkerReport report_of(Worker& w);
+  Heartbeat report_of(Worker& w);
   void users();
   void check();
   void breach(const std::string& what);
-  void note(const std::string& what, const std::vector<Order>& orders) const;
+  void note(const std::string& what, const std::vector<Command>& commands) const;
   void note(const std::string& what) const;
   const JobSpec& spec_of(const JobId& id) const { return submitted_.at(id); }
   [[nodiscard]] static bool on_machine(const WorkTask& t) {
@@ -171,18 +171,18 @@
   std::uint64_t machine_no_ = 0, job_no_ = 0;
   // store
   std::uint64_t revision_ = 10;
-  std::optional<Token> lead_;
+  std::optional<FencingToken> lead_;
   Time lead_until_{};
   std::map<JobId, StoredJob> stored_jobs_;
-  std::map<std::uint32_t, std::vector<MachineFacts>> stored_facts_;
+  std::map<std::uint32_t, std::vector<MachineRecord>> stored_machines_;
   std::map<RowKey, TaskRow> stored_tasks_;
   bool gate_ = false;
-  std::optional<Token> gate_token_;
+  std::optional<FencingToken> gate_token_;
   std::size_t row_limit_ = 1000, rows_at_once_ = 6;
   // truth
   std::map<JobId, JobSpec> submitted_;
   std::map<JobId, std::set<std::uint32_t>> completed_;
-  std::map<JobId, Time> told_cancelled_;
+  std::map<JobId, Time> reported_cancelled_;
   std::map<TaskKey, MachineId> attempts_;
   std::set<std::string> hire_names_;
   std::vector<std::string> breaches_;
--- a/tests/stand_ins_test.cpp
+++ b/tests/stand_ins_test.cpp
@@ -19,9 +19,9 @@
   return {MachineId{machine}, type, zone, false};
 }
 
-struct Judge {
+struct RuleChecker {
   Rules rules{terms, {{"red", {}, {0, 4, 0}}}};
-  explicit Judge(const std::function<void(JobSpec&)>& change = [](JobSpec&) {}) {
+  explicit RuleChecker(const std::function<void(JobSpec&)>& change = [](JobSpec&) {}) {
     JobSpec spec;
     spec.id = job;
     spec.team = "red";
@@ -42,7 +42,7 @@
 };
 
 TEST(judge, finds_nothing_where_nothing_is_wrong) {
-  Judge j;
+  RuleChecker j;
   for (std::uint32_t i = 0; i < 4; ++i) j.start(i, place("i-1"));
   for (std::uint32_t i = 0; i < 4; ++i) {
     j.rules.completes({job, i});
@@ -55,14 +55,14 @@
 }
 
 TEST(judge, ran_twice) {
-  Judge j;
+  RuleChecker j;
   j.start(0, place("i-1"));
   j.start(0, place("i-2"));
   EXPECT_EQ("ran_twice", j.found());
 }
 
 TEST(judge, quota) {
-  Judge j{[](JobSpec& s) { s.need.gpus = 2; }};
+  RuleChecker j{[](JobSpec& s) { s.need.gpus = 2; }};
   for (std::uint32_t i = 0; i < 2; ++i) j.start(i, place("i-1"));
   EXPECT_EQ("", j.found());
   j.start(2, place("i-1"));
@@ -70,7 +70,7 @@
 }
 
 TEST(judge, quota_by_the_limits_in_force) {
-  Judge j;
+  RuleChecker j;
   j.rules.change_limits({{"red", {}, {0, 1, 0}}}, at(10), seconds(8));
   j.start(0, place("i-1"), 11);
   j.start(1, place("i-1"), 17.9);
@@ -80,35 +80,35 @@
 }
 
 TEST(judge, quota_of_a_team_that_was_removed) {
-  Judge j;
+  RuleChecker j;
   j.rules.change_limits({}, at(10), seconds(8));
   j.start(0, place("i-1"), 18.1);
   EXPECT_EQ("quota", j.found());
 }
 
 TEST(judge, wrong_place) {
-  Judge type{[](JobSpec& s) { s.types = {"small"}; }};
+  RuleChecker type{[](JobSpec& s) { s.types = {"small"}; }};
   type.start(0, place("i-1"));
   EXPECT_EQ("wrong_place", type.found());
-  Judge zone{[](JobSpec& s) { s.zone = "b"; }};
+  RuleChecker zone{[](JobSpec& s) { s.zone = "b"; }};
   zone.start(0, place("i-1"));
   EXPECT_EQ("wrong_place", zone.found());
-  Judge together{[](JobSpec& s) { s.one_zone = true; }};
+  RuleChecker together{[](JobSpec& s) { s.one_zone = true; }};
   together.start(0, place("i-1"));
   together.start(1, place("i-2", "b"));
   EXPECT_EQ("wrong_place", together.found());
-  Judge spread{[](JobSpec& s) { s.spread = true; }};
+  RuleChecker spread{[](JobSpec& s) { s.spread = true; }};
   for (std::uint32_t i = 0; i < 2; ++i) spread.start(i, place("i-1"));
   EXPECT_EQ("", spread.found());
   spread.start(2, place("i-1"));
   EXPECT_EQ("wrong_place", spread.found());
-  Judge spot;
+  RuleChecker spot;
   spot.rules.starts({job, 0}, {MachineId{"i-1"}, "big", "a", true}, at(1));
   EXPECT_EQ("wrong_place", spot.found());
 }
 
 TEST(judge, ran_cancelled) {
-  Judge j;
+  RuleChecker j;
   j.start(0, place("i-1"));
   j.rules.works().at(job).cancel_asked = at(2);
   j.rules.told(job, "withdrawn", j.rules.sends(), at(2));
@@ -116,7 +116,7 @@
   EXPECT_EQ("", j.found());
   j.rules.tick(at(2 + terms.cancel_s + 0.1));
   EXPECT_EQ("ran_cancelled", j.found());
-  Judge late;
+  RuleChecker late;
   late.rules.works().at(job).cancel_asked = at(2);
   late.rules.told(job, "withdrawn", late.rules.sends(), at(2));
   late.start(0, place("i-1"), 2 + terms.cancel_s + 0.1);
@@ -125,12 +125,12 @@
 
 TEST(judge, forgotten) {
   for (const int status : {404, 400, 422}) {
-    Judge j;
+    RuleChecker j;
     j.rules.refused_forever(job, status, j.rules.sends(), at(1));
     EXPECT_EQ("forgotten", j.found());
   }
-  Judge unanswered;
-  unanswered.rules.all_troubles_over(at(5));
+  RuleChecker unanswered;
+  unanswered.rules.all_faults_over(at(5));
   unanswered.rules.tick(at(79));
   EXPECT_EQ("", unanswered.found());
   unanswered.rules.tick(at(81));
@@ -138,21 +138,21 @@
 }
 
 TEST(judge, invented_not_done_went_back_nothing_ran) {
-  Judge invented;
-  invented.rules.told_of_unknown(JobId{"job-000009"}, at(1));
+  RuleChecker invented;
+  invented.rules.on_unknown_job_known(JobId{"job-000009"}, at(1));
   EXPECT_EQ("invented", invented.found());
-  Judge not_done;
+  RuleChecker not_done;
   not_done.rules.told(job, "done", not_done.rules.sends(), at(1));
   EXPECT_EQ("not_done", not_done.found());
-  Judge cancelled_by_no_one;
+  RuleChecker cancelled_by_no_one;
   cancelled_by_no_one.rules.told(job, "withdrawn", cancelled_by_no_one.rules.sends(), at(1));
   EXPECT_EQ("went_back", cancelled_by_no_one.found());
-  Judge went_back;
+  RuleChecker went_back;
   for (std::uint32_t i = 0; i < 4; ++i) went_back.rules.completes({job, i});
   went_back.rules.told(job, "done", went_back.rules.sends(), at(1));
   went_back.rules.told(job, "running", went_back.rules.sends(), at(2));
   EXPECT_EQ("went_back", went_back.found());
-  Judge nothing;
+  RuleChecker nothing;
   nothing.rules.finish(at(9));
   EXPECT_EQ("nothing_ran", nothing.found());
 }
--- a/tests/state_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -1,4 +1,4 @@
-#include "service/state_client.hpp"
+#include "service/store_client.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/sinks/null_sink.h>
@@ -20,7 +20,7 @@
       }};
   Context ctx{loop, settings(), Policy{},
               std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>())};
-  StateClient client{ctx};
+  StoreClient client{ctx};
 
   config::Settings settings() const {
     config::Settings s;
@@ -44,7 +44,7 @@
   rt::Task<void> write(std::size_t n, std::size_t& done) {
     std::vector<wire::StoreOp> then;
     for (std::size_t i = 0; i < n; ++i) then.push_back({"k" + std::to_string(i), wire::json::object(), std::nullopt});
-    const TxnResult r = co_await client.txn({}, std::move(then), seconds(60), StateClient::Turn::in_line);
+    const TxnResult r = co_await client.txn({}, std::move(then), seconds(60), StoreClient::Queueing::fifo);
     EXPECT_EQ(TxnOutcome::committed, r.outcome);
     ++done;
   }
--- a/tests/rows_test.cpp
+++ b/tests/task_rows_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "core/scheduler.hpp"
+#include "core/scheduler/scheduler.hpp"
 #include "worker_reports.hpp"
 
 namespace martenwall {
@@ -18,24 +18,24 @@
   std::uint64_t most_used = 0;
   std::vector<RowWrite> under_way;
   bool over = false;
-  std::uint64_t tick = 0;
-  Scheduler s{setup(false), [](const std::string&) {}};
+  std::uint64_t sequence = 0;
+  Scheduler s{options(false), [](const std::string&) {}};
 
-  static Scheduler::Setup setup(bool spans) {
-    Scheduler::Setup u;
+  static Scheduler::Options options(bool spans) {
+    Scheduler::Options u;
     u.terms = {3, 19, 50, 4, 39};
     u.teams = {{"red", {0, 4, 0}, {0, 1e6, 0}}};
-    u.token = Token{50};
-    u.spans = spans;
-    u.legacy_size = 9;
-    u.span_size = 8;
+    u.token = FencingToken{50};
+    u.range_rows = spans;
+    u.v1_row_size = 9;
+    u.range_size = 8;
     return u;
   }
   static Job job() {
     Job j;
     j.spec.id = JobId{"job-1"};
     j.spec.team = "red";
-    j.spec.lane = "x";
+    j.spec.job_class = "x";
     j.spec.tasks = 40;
     j.spec.need = {0.5, 0, 1};
     j.spec.image = "img";
@@ -46,23 +46,23 @@
     s.add_job(job(), now);
   }
   void beat() {
-    auto r = report_of("i-1", Tick{++tick});
+    auto r = report_of("i-1", HeartbeatSequence{++sequence});
     for (const auto& [index, attempt] : on_machine) {
       const bool over_now = ended.contains(index);
       r.tasks.push_back({TaskId{JobId{"job-1"}, index}, attempt, over_now ? TaskState::ended : TaskState::running,
                          over_now ? ExitCause::done : ExitCause::none, false});
     }
-    for (const auto& o : s.on_report(r, ReportSource::beat, now, true)) {
-      if (o.verb == Order::Verb::start) {
+    for (const auto& o : s.on_heartbeat(r, StatusSource::heartbeat, now, true)) {
+      if (o.verb == Command::Verb::start) {
         on_machine.emplace(o.task.index, o.attempt);
         most_used = std::max(most_used, o.attempt.value());
-      } else if (o.verb == Order::Verb::forget) {
+      } else if (o.verb == Command::Verb::forget) {
         on_machine.erase(o.task.index);
         ended.erase(o.task.index);
         reaped.insert(o.task.index);
       }
     }
-    s.answered(r.machine, now);
+    s.on_heartbeat_answered(r.machine, now);
   }
   void finish(std::uint8_t which) {
     for (const auto& [index, attempt] : on_machine) {
@@ -78,21 +78,21 @@
     const auto it = under_way.begin() + static_cast<std::ptrdiff_t>(which % under_way.size());
     const RowWrite row = *it;
     under_way.erase(it);
-    if (too_large && row.key.kind == RowKind::tasks && row.tasks && s.divide(row, now)) return;
+    if (too_large && row.key.kind == RowKind::tasks && row.tasks && s.split_row(row, now)) return;
     if (row.final_job) over = true;
     if (row.tasks) store.insert_or_assign(row.key, *row.tasks);
-    if (!row.tasks && row.key.kind != RowKind::facts) store.erase(row.key);
-    s.stored({row}, now);
+    if (!row.tasks && row.key.kind != RowKind::machines) store.erase(row.key);
+    s.on_rows_stored({row}, now);
   }
   void check(bool spans) const {
     if (over) return;
-    Scheduler next{setup(spans), [](const std::string&) {}};
+    Scheduler next{options(spans), [](const std::string&) {}};
     next.load_job(job(), now);
     for (auto it = store.rbegin(); it != store.rend(); ++it) {
       if (it->first.kind == RowKind::tasks) next.load_tasks(it->second, now);
     }
     for (const auto& [key, row] : store) {
-      if (key.kind == RowKind::legacy_tasks) next.load_tasks(row, now);
+      if (key.kind == RowKind::tasks_v1) next.load_tasks(row, now);
     }
     next.finish_load(now);
     const auto* read = next.find_job(JobId{"job-1"});
@@ -115,11 +115,11 @@
     const auto [what, which] =
         steps.empty() ? std::pair<std::uint8_t, std::uint8_t>{i % 7, i % 5} : steps[i % steps.size()];
     if (i == gate) {
-      w.s.use_spans(w.now);
+      w.s.use_range_rows(w.now);
       spans = true;
     }
     w.now += seconds(0.5);
-    if (i % 4 == 0) w.s.round(w.now);
+    if (i % 4 == 0) w.s.run_cycle(w.now);
     if (what % 7 == 0) w.finish(which);
     if (what % 7 == 1) w.s.set_row_sizes(1 + which % 6, 25);
     if (what % 3 == 0) w.beat();
@@ -134,11 +134,11 @@
 TEST(rows, a_span_is_stored_with_no_other_row_than_its_own) {
   Ledgered w;
   w.beat();
-  w.s.round(w.now);
+  w.s.run_cycle(w.now);
   const auto rows = w.s.take_writes(2, false, w.now);
   ASSERT_EQ(2U, rows.size());
-  ASSERT_EQ(RowKind::legacy_tasks, rows[1].key.kind);
-  w.s.stored({rows[0]}, w.now);
+  ASSERT_EQ(RowKind::tasks_v1, rows[1].key.kind);
+  w.s.on_rows_stored({rows[0]}, w.now);
   w.beat();
   ASSERT_EQ(9U, w.on_machine.size());
   w.ended.insert(0);
@@ -146,25 +146,25 @@
   const auto again = w.s.take_writes(1, false, w.now + seconds(10));
   ASSERT_EQ(1U, again.size());
   ASSERT_EQ(0U, again[0].key.part);
-  w.s.use_spans(w.now);
-  w.s.stored(again, w.now);
+  w.s.use_range_rows(w.now);
+  w.s.on_rows_stored(again, w.now);
   w.beat();
   for (const auto& [index, attempt] : w.on_machine) EXPECT_LT(index, 9U);
 }
 
 // What a row by number still says of an index that a later row tells of is old.
 TEST(rows, the_row_that_begins_last_counts) {
-  Scheduler next{Ledgered::setup(true), [](const std::string&) {}};
+  Scheduler next{Ledgered::options(true), [](const std::string&) {}};
   next.load_job(Ledgered::job(), Time{seconds(1000)});
   const auto row = [](std::uint32_t first, std::uint32_t size, std::uint32_t held, bool legacy) {
     TaskRow r;
     r.job = JobId{"job-1"};
     r.first = first;
     r.size = size;
-    r.legacy = legacy;
+    r.is_v1 = legacy;
     r.team = "red";
     r.next_attempt = 9;
-    r.held = {{held, Attempt{8}, MachineId{"i-1"}, "a"}};
+    r.placed = {{held, Attempt{8}, MachineId{"i-1"}, "a"}};
     return r;
   };
   next.load_tasks(row(4, 4, 4, false), Time{seconds(1000)});
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,7 +3,7 @@
 
 #include "wire/cloud_codec.hpp"
 #include "wire/peer_codec.hpp"
-#include "wire/state_codec.hpp"
+#include "wire/store_codec.hpp"
 #include "wire/user_codec.hpp"
 #include "wire/worker_codec.hpp"
 
@@ -13,10 +13,10 @@
 JobSpec any_spec() {
   JobSpec s;
   s.id = JobId{"job-" + std::to_string(*rc::gen::inRange(0, 1000000))};
-  s.lane = "lane";
+  s.job_class = "lane";
   s.team = "team";
-  s.shape = static_cast<Shape>(*rc::gen::inRange(0, 3));
-  s.rank = static_cast<Rank>(*rc::gen::inRange(0, 4));
+  s.kind = static_cast<JobKind>(*rc::gen::inRange(0, 3));
+  s.priority = static_cast<Priority>(*rc::gen::inRange(0, 4));
   s.tasks = *rc::gen::inRange<std::uint32_t>(1, 100001);
   s.need = {*rc::gen::inRange(0, 64) * 0.5, *rc::gen::inRange(0, 8) * 1.0, *rc::gen::inRange(0, 512) * 0.25};
   s.image = "img";
@@ -27,8 +27,8 @@
   s.spread = *rc::gen::arbitrary<bool>();
   s.spot = *rc::gen::arbitrary<bool>();
   s.estimate_s = 240;
-  s.checkpoint_s = 30;
-  s.save_s = 4;
+  s.checkpoint_interval_s = 30;
+  s.checkpoint_duration_s = 4;
   if (*rc::gen::arbitrary<bool>()) s.deadline_s = 900;
   return s;
 }
@@ -63,7 +63,7 @@
   const std::string nested = std::string(200, '[') + text;
   for (const auto& t : {text, "{\"ref\":" + text + "}", nested}) {
     RC_ASSERT(std::holds_alternative<BadJob>(parse_job(t)));
-    RC_ASSERT(!parse_report(t).has_value());
+    RC_ASSERT(!parse_heartbeat(t).has_value());
     RC_ASSERT(!parse_item(t).has_value());
     RC_ASSERT(!parse_types(t).has_value());
     (void)parse_machines(t);
@@ -93,21 +93,21 @@
   row.size = 70000;
   row.team = "team";
   row.need = {1, 2, 3};
-  row.rank = Rank::high;
+  row.priority = Priority::high;
   row.next_attempt = 17;
   DoneSet done;
   for (const auto i : finished) done.insert(i);
   row.done = done.ranges_in(0, 70000);
   for (const auto i : placed) {
-    row.held.push_back({i, Attempt{i + 1U}, MachineId{"i-" + std::to_string(i)}, i % 2 == 0 ? "a" : "b"});
+    row.placed.push_back({i, Attempt{i + 1U}, MachineId{"i-" + std::to_string(i)}, i % 2 == 0 ? "a" : "b"});
   }
   const auto back = decode_tasks(tasks_key(row.job, row.first), json::parse(encode_tasks(row).dump()));
   RC_ASSERT(back.has_value());
   RC_ASSERT(back->job == row.job && back->first == 3U && back->size == 70000U && back->next_attempt == 17U &&
-            back->rank == Rank::high);
+            back->priority == Priority::high);
   RC_ASSERT(back->done == row.done);
-  RC_ASSERT(back->held.size() == row.held.size());
-  for (const auto& h : back->held) {
+  RC_ASSERT(back->placed.size() == row.placed.size());
+  for (const auto& h : back->placed) {
     RC_ASSERT(placed.contains(static_cast<std::uint16_t>(h.index)));
     RC_ASSERT(h.attempt.value() == h.index + 1U && h.machine.value() == "i-" + std::to_string(h.index));
     RC_ASSERT(h.zone == (h.index % 2 == 0 ? "a" : "b"));
@@ -115,9 +115,9 @@
 }
 
 RC_GTEST_PROP(state_codec, rows_of_machines_survive_their_encoding, (const std::vector<std::uint8_t>& images)) {
-  std::vector<MachineFacts> row;
+  std::vector<MachineRecord> row;
   for (std::size_t i = 0; i <= images.size() / 3; ++i) {
-    row.push_back({MachineId{"i-" + std::to_string(i)}, 7, "10.0.0.1:9", "g8", "a", i % 2 == 0, Session{i}, {}});
+    row.push_back({MachineId{"i-" + std::to_string(i)}, 7, "10.0.0.1:9", "g8", "a", i % 2 == 0, Incarnation{i}, {}});
   }
   for (std::size_t i = 0; i < images.size(); ++i) {
     row[i / 3].images.emplace_back("img-" + std::to_string(images[i] % 5), 2.5);
@@ -125,7 +125,7 @@
   const auto back = decode_machines(machines_key(7), json::parse(encode_machines(row).dump()));
   RC_ASSERT(back.size() == row.size());
   for (std::size_t i = 0; i < row.size(); ++i) {
-    RC_ASSERT(back[i].id == row[i].id && back[i].group == 7U && back[i].session == row[i].session);
+    RC_ASSERT(back[i].id == row[i].id && back[i].group == 7U && back[i].incarnation == row[i].incarnation);
     RC_ASSERT(back[i].images == row[i].images && back[i].spot == row[i].spot && back[i].zone == "a");
   }
 }
@@ -134,13 +134,13 @@
   // What the size of a row by number is computed with: 60 bytes for each index, 1,200 besides.
   TaskRow row;
   row.job = JobId{"job-" + std::string(110, 'x')};
-  row.legacy = true;
+  row.is_v1 = true;
   row.team = std::string(200, 't');
   row.need = {1.25, 2, 3};
-  row.rank = Rank::high;
+  row.priority = Priority::high;
   row.next_attempt = 99;
   for (std::uint32_t i = 0; i < 100; ++i)
-    row.held.push_back({99000 + i, Attempt{100000}, MachineId{"i-0000000001"}, "z"});
+    row.placed.push_back({99000 + i, Attempt{100000}, MachineId{"i-0000000001"}, "z"});
   EXPECT_LE(encode_tasks(row).dump().size(), 1200U + 60U * 100U);
 }
 
@@ -157,25 +157,26 @@
 }
 
 TEST(worker_codec, reads_the_report_of_the_protocol) {
-  const auto r = parse_report(R"({"host":"i-000231","endpoint":"10.1.0.232:9000","breed":"g8","yard":"a","loaners":true,
+  const auto r =
+      parse_heartbeat(R"({"host":"i-000231","endpoint":"10.1.0.232:9000","breed":"g8","yard":"a","loaners":true,
      "tenure":1,"tick":88,"baton":41,"recallS":null,"new":1,
      "shards":[{"shard":"job-000412/3","try":2,"phase":"running"},
               {"shard":"job-000398/0","try":1,"phase":"ended","cause":"done"}]})");
   ASSERT_TRUE(r);
   EXPECT_EQ(TaskState::running, r->tasks.at(0).state);
   EXPECT_EQ(ExitCause::done, r->tasks.at(1).cause);
-  EXPECT_FALSE(r->notice_s);
+  EXPECT_FALSE(r->preemption_notice_s);
 }
 
 // A report of which one task cannot be read must not count as proof that the task is absent.
 TEST(worker_codec, refuses_a_report_with_an_unreadable_task) {
-  EXPECT_FALSE(parse_report(R"({"host":"i-1","breed":"g","yard":"a","tenure":1,"tick":1,"baton":1,
+  EXPECT_FALSE(parse_heartbeat(R"({"host":"i-1","breed":"g","yard":"a","tenure":1,"tick":1,"baton":1,
      "shards":[{"shard":"job-1/x","try":1,"phase":"running"}]})"));
 }
 
 TEST(state_codec, a_transaction_is_as_in_the_protocol) {
   const auto text =
-      encode_txn({{"a/b", Stamp{0}}}, {{"a/b", json{{"x", 1}}, LeaseId{7}}, {"c/d", std::nullopt, std::nullopt}});
+      encode_txn({{"a/b", KeyVersion{0}}}, {{"a/b", json{{"x", 1}}, LeaseId{7}}, {"c/d", std::nullopt, std::nullopt}});
   EXPECT_EQ(
       json::parse(
           R"({"when":[{"path":"a/b","stamp":0}],"then":[{"set":"a/b","data":{"x":1},"tether":7},{"remove":"c/d"}]})"),
--- a/tests/worker_reports.hpp
+++ b/tests/worker_reports.hpp
@@ -6,15 +6,15 @@
 
 namespace martenwall {
 
-inline WorkerReport report_of(const std::string& machine, Tick tick, Session session = Session{1},
-                              Token token = Token{50}) {
-  WorkerReport r;
+inline Heartbeat report_of(const std::string& machine, HeartbeatSequence sequence,
+                           Incarnation incarnation = Incarnation{1}, FencingToken token = FencingToken{50}) {
+  Heartbeat r;
   r.machine = MachineId{machine};
   r.addr = std::string{"10.0.0.9:1"};
   r.type = std::string{"g"};
   r.zone = std::string{"a"};
-  r.session = session;
-  r.tick = tick;
+  r.incarnation = incarnation;
+  r.sequence = sequence;
   r.token = token;
   return r;
 }
