--- a/tests/stored_bytes_test.cpp
+++ b/tests/stored_bytes_test.cpp
@@ -50,7 +50,7 @@
 
 static_assert(is_number(HeartbeatResponse::Kind::commands, 0));
 static_assert(is_number(HeartbeatResponse::Kind::misdirected, 1));
-static_assert(is_number(HeartbeatResponse::Kind::ready_at, 2));
+static_assert(is_number(HeartbeatResponse::Kind::released, 2));
 static_assert(is_number(HeartbeatResponse::Kind::deferred, 3));
 
 // In batches of reports.
@@ -219,7 +219,7 @@
   r.zone = "a";
   r.spot = true;
   r.incarnation = Incarnation{1};
-  r.tick = HeartbeatSequence{88};
+  r.sequence = HeartbeatSequence{88};
   r.token = FencingToken{41};
   r.preemption_notice_s = 90.5;
   std::uint32_t index = 0;
@@ -269,7 +269,7 @@
           {{HeartbeatResponse::Kind::commands, orders_of_each_verb()},
            {HeartbeatResponse::Kind::commands, {}},
            {HeartbeatResponse::Kind::misdirected, {}},
-           {HeartbeatResponse::Kind::ready_at, {}},
+           {HeartbeatResponse::Kind::released, {}},
            {HeartbeatResponse::Kind::deferred, {}}},
           {node_room(), {"stall-2", 0, 70000}}};
 }
@@ -364,7 +364,7 @@
 
 std::string machines_again(const std::string& key, const std::string& bytes) {
   const auto facts = decode_machines(key, json::parse(bytes));
-  for (const auto& f : machines) {
+  for (const auto& f : facts) {
     if (machines_key(f.group) != key) return "another key";
   }
   return encode_machines(facts).dump();
