--- a/tests/stored_bytes_test.cpp
+++ b/tests/stored_bytes_test.cpp
@@ -775,6 +775,11 @@
   EXPECT_GE(read, 50U);
 }
 
+// Found while these samples were recorded: of 7edafbd's parse_failed nothing comes back.
+TEST(stored_bytes, keys_of_failed_conditions_are_read) {
+  EXPECT_EQ((std::vector<std::string>{"lead", "f/job-1"}), parse_failed(R"({"failed":["lead","f/job-1"]})"));
+}
+
 // Pieces are read together.
 TEST(stored_bytes, pieces_of_7edafbd_make_the_row_that_they_were_cut_from) {
   const auto before = recorded();
