--- a/src/core/model/model.cpp
+++ b/src/core/model/model.cpp
@@ -115,6 +115,16 @@
   }
 }
 
+void Job::complete(std::uint32_t index) {
+  done.insert(index);
+  requeued.erase(index);
+  if (next_unstarted > index) return;
+  for (; next_unstarted < index; ++next_unstarted) {
+    if (!done.contains(next_unstarted) && !placed.contains(next_unstarted)) requeued.insert(next_unstarted);
+  }
+  next_unstarted = index + 1;
+}
+
 void Job::return_to_pending(std::uint32_t index) {
   placed.erase(index);
   if (!done.contains(index) && !is_final(phase)) requeued.insert(index);
--- a/src/core/model/model.hpp
+++ b/src/core/model/model.hpp
@@ -230,6 +230,8 @@
   [[nodiscard]] std::uint32_t unfinished() const { return spec.tasks - done.count(); }
   void take(std::uint32_t index, const MachineId& machine);
   void return_to_pending(std::uint32_t index);
+  // A task of an array completed, also one that this leader did not start.
+  void complete(std::uint32_t index);
   // May be there: as the one place of the task, or besides another.
   void hold(std::uint32_t index, const MachineId& machine);
   [[nodiscard]] std::uint32_t failed_machines() const {
--- /dev/null
+++ b/src/core/scheduler/dependency_tracker.cpp
@@ -0,0 +1,153 @@
+#include "core/scheduler/dependency_tracker.hpp"
+
+#include <algorithm>
+#include <deque>
+#include <utility>
+
+namespace martenwall {
+
+namespace {
+constexpr double handover_s = 2;  // heartbeats, the store and a scheduling cycle, twice
+}  // namespace
+
+std::optional<JobId> DependencyTracker::add(Job& job, Time now) {
+  if (job.spec.dependencies.empty() || is_final(job.phase)) return std::nullopt;
+  std::optional<JobId> cancelled;
+  for (const auto& dependency : job.spec.dependencies) {
+    const Job* known = std::as_const(state_).find_job(dependency);
+    // What the end of a residual job was is not known: its rows outlive done jobs too.
+    const bool stored = known != nullptr && known->end_is_stored && !known->residual;
+    if (stored && known->phase == JobPhase::done) continue;
+    if (stored) cancelled = dependency;
+    job.open_dependencies.insert(dependency);
+    dependents_[dependency].insert(job.spec.id);
+    const bool unknown = known == nullptr || known->residual;
+    if (unknown && !lookups_issued_.contains(dependency)) lookups_due_.insert(dependency);
+  }
+  if (job.open_dependencies.empty()) {
+    job.ready_at = now;
+    return std::nullopt;
+  }
+  job.enter(JobPhase::waiting);
+  propagate_urgency(job);
+  log_.job_blocked(job);
+  return cancelled;
+}
+
+void DependencyTracker::remove(const Job& job) {
+  for (const auto& dependency : job.open_dependencies) {
+    const auto it = dependents_.find(dependency);
+    if (it == dependents_.end() || it->second.erase(job.spec.id) == 0 || !it->second.empty()) continue;
+    dependents_.erase(it);
+    lookups_due_.erase(dependency);
+    lookups_issued_.erase(dependency);
+  }
+}
+
+// ---- lookups ----
+
+std::vector<JobId> DependencyTracker::take_lookups() {
+  std::vector<JobId> out{lookups_due_.begin(), lookups_due_.end()};
+  lookups_issued_.merge(lookups_due_);
+  lookups_due_.clear();
+  return out;
+}
+
+void DependencyTracker::retry_lookup(const JobId& id) {
+  if (lookups_issued_.erase(id) == 0 || !dependents_.contains(id)) return;
+  // Meanwhile the job may have become known here: its end will tell.
+  const Job* known = std::as_const(state_).find_job(id);
+  if (known == nullptr || known->residual) lookups_due_.insert(id);
+}
+
+// ---- ends ----
+
+std::set<JobId> DependencyTracker::take_dependents(const JobId& id) {
+  lookups_due_.erase(id);
+  lookups_issued_.erase(id);
+  const auto it = dependents_.find(id);
+  if (it == dependents_.end()) return {};
+  auto dependents = std::move(it->second);
+  dependents_.erase(it);
+  return dependents;
+}
+
+void DependencyTracker::unblock(const JobId& id, const std::set<JobId>& dependents, Time now) {
+  for (const auto& dependent : dependents) {
+    Job* job = state_.find_job(dependent);
+    if (job == nullptr || job->phase != JobPhase::waiting) continue;
+    job->open_dependencies.erase(id);
+    if (!job->open_dependencies.empty()) continue;
+    job->enter(JobPhase::pending);
+    job->ready_at = job->waiting_since = now;
+    state_.needs_cycle = true;
+    log_.job_unblocked(*job, now);
+  }
+}
+
+void DependencyTracker::add_cascade(const JobId& root, std::set<JobId> cancelled) {
+  log_.dependents_cancelled(root, cancelled);
+  open_cascades_[root].merge(cancelled);
+}
+
+void DependencyTracker::on_end_stored(const JobId& id) {
+  const auto root = cascade_root_of_.find(id);
+  if (root == cascade_root_of_.end()) return;
+  const auto rest = open_cascades_.find(root->second);
+  if (rest != open_cascades_.end() && rest->second.erase(id) > 0 && rest->second.empty()) open_cascades_.erase(rest);
+  cascade_root_of_.erase(root);
+}
+
+// ---- only the last job of a pipeline has the deadline and the priority that its user cares about ----
+
+// From the job's start to the moment when its dependents can start, if nothing stands in its way.
+double DependencyTracker::time_to_completion_s(const Job& job) const {
+  return estimator_.estimate_s(job) + state_.fetch_time_s(job.spec) + handover_s;
+}
+
+// True where that made the job more urgent.
+bool DependencyTracker::inherit_urgency(Job& job, const Job& dependent) const {
+  const auto priority = std::max(job.priority, dependent.priority);
+  auto deadline = job.effective_deadline;
+  if (dependent.effective_deadline) {
+    const Time latest = *dependent.effective_deadline - seconds(time_to_completion_s(dependent));
+    deadline = deadline ? std::min(*deadline, latest) : latest;
+  }
+  if (priority == job.priority && deadline == job.effective_deadline) return false;
+  job.priority = priority;
+  job.effective_deadline = deadline;
+  return true;
+}
+
+void DependencyTracker::propagate_urgency(const Job& job) {
+  std::deque<const Job*> next{&job};
+  for (; !next.empty(); next.pop_front()) {
+    for (const auto& id : next.front()->open_dependencies) {
+      Job* dependency = state_.find_job(id);
+      if (dependency == nullptr || is_final(dependency->phase)) continue;
+      if (!inherit_urgency(*dependency, *next.front())) continue;
+      state_.needs_cycle = true;
+      next.push_back(dependency);
+    }
+  }
+}
+
+void DependencyTracker::recompute_urgency(const Job& cancelled) {
+  std::deque<const Job*> next{&cancelled};
+  for (; !next.empty(); next.pop_front()) {
+    for (const auto& id : next.front()->open_dependencies) {
+      Job* job = state_.find_job(id);
+      if (job == nullptr || is_final(job->phase)) continue;
+      const auto before = std::pair{job->priority, job->effective_deadline};
+      job->reset_urgency();
+      if (const auto dependents = dependents_.find(id); dependents != dependents_.end()) {
+        for (const auto& dependent : dependents->second) {
+          if (const Job* other = std::as_const(state_).find_job(dependent)) inherit_urgency(*job, *other);
+        }
+      }
+      if (before != std::pair{job->priority, job->effective_deadline}) next.push_back(job);
+    }
+  }
+}
+
+}  // namespace martenwall
--- /dev/null
+++ b/src/core/scheduler/preemptor.hpp
@@ -0,0 +1,52 @@
+// Preemption: stops running work for pending jobs of higher priority, or within their team's guarantee, where waiting
+// for free capacity would miss a target.
+#pragma once
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <unordered_map>
+
+#include "core/placement/heuristics.hpp"
+#include "core/placement/preemption.hpp"
+#include "core/scheduler/service_targets.hpp"
+#include "core/scheduler/task_lifecycle.hpp"
+
+namespace martenwall {
+
+class Preemptor {
+ public:
+  Preemptor(ClusterState& state, const SchedulerOptions& options, const ServiceTargets& targets, TaskLifecycle& tasks)
+      : state_(state), options_(options), targets_(targets), tasks_(tasks) {}
+
+  // For the jobs that found no place in this cycle. Returns how many tasks it had to look at as possible victims.
+  std::size_t run(PlacementProblem& problem, Time now);
+  // Whether room is being made for the job by stopping others.
+  [[nodiscard]] bool is_preempting_for(const JobId& id) const { return reserved_until_.contains(id); }
+
+ private:
+  [[nodiscard]] VictimTable victims(const PlacementProblem& problem, Time now);
+  // Looked up once in a cycle: many placements are of few jobs and teams.
+  struct VictimLookup {
+    struct KnownJob {
+      const Job* job = nullptr;  // nullptr: not known any more
+      bool guaranteed = false;   // within its team's guarantee
+    };
+    const PlacementProblem& problem;
+    std::set<std::string> teams_over_guarantee;
+    std::unordered_map<JobId, KnownJob> jobs;
+  };
+  void add_victims(VictimMachine& entry, VictimLookup& lookup, Time now) const;
+  [[nodiscard]] bool may_preempt_for(const PendingJob& pending, Time now) const;
+  [[nodiscard]] bool should_wait_for_capacity(const PendingJob& pending, Time now) const;
+  [[nodiscard]] std::optional<Time> capacity_expected(const Job& job, Time now) const;
+  void apply(const PreemptionPlan& plan, const PendingJob& pending, Time now);
+
+  ClusterState& state_;
+  const SchedulerOptions& options_;
+  const ServiceTargets& targets_;
+  TaskLifecycle& tasks_;
+  std::map<JobId, Time> reserved_until_;  // jobs for which machines are being cleared
+};
+
+}  // namespace martenwall
--- /dev/null
+++ b/src/core/scheduler/worker_command_dispatcher.hpp
@@ -0,0 +1,38 @@
+// What workers are told to do: commands in the responses to their heartbeats, and batches sent straight to them.
+#pragma once
+#include <vector>
+
+#include "core/scheduler/task_lifecycle.hpp"
+
+namespace martenwall {
+
+class WorkerCommandDispatcher {
+ public:
+  WorkerCommandDispatcher(ClusterState& state, const SchedulerOptions& options, const RowTracker& rows,
+                          TaskLifecycle& tasks)
+      : state_(state), options_(options), rows_(rows), tasks_(tasks) {}
+
+  // For the response to the machine's heartbeat `sequence`. `lease_valid`: this leader's lease is, so that starts may
+  // go out. Commands are repeated in each response until a heartbeat shows their effect.
+  std::vector<Command> commands_for(Machine& machine, HeartbeatSequence sequence, Time now, bool lease_valid);
+  // Commands to be sent at once, without waiting for the next heartbeat; each once.
+  std::vector<CommandBatch> take_batches(Time now);
+  void on_outcome(const CommandBatch& batch, CommandOutcome outcome, Time now);
+  // Empty batches for the machines that have not reported to this leader yet, so that they learn of it; busy ones
+  // first.
+  [[nodiscard]] std::vector<CommandBatch> announcements() const;
+
+ private:
+  void append_command(Machine& machine, Placement& placement, HeartbeatSequence sequence, Time now, bool lease_valid,
+                      std::vector<Command>& out);
+  void append_stop(const Machine& machine, Placement& placement, HeartbeatSequence sequence, Time now,
+                   std::vector<Command>& out);
+  void append_direct_command(const Machine& machine, Placement& placement, Time now, CommandBatch& batch);
+
+  ClusterState& state_;
+  const SchedulerOptions& options_;
+  const RowTracker& rows_;
+  TaskLifecycle& tasks_;
+};
+
+}  // namespace martenwall
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -125,7 +125,7 @@
   for (int i = 0; i < 40; ++i) h.beat(Hall::report(machine(i), 1));
   h.rounds_for(80);
   EXPECT_EQ(MachinePhase::releasing, h.phase("i-7"));
-  EXPECT_LE(h.logged("its lease has surely ended"), 40U);
+  EXPECT_LE(h.logged("machine lost"), 40U);
 }
 
 TEST(fleet_at_size, floods_of_unknown_machines_and_tasks_get_bounded_answers) {
--- a/tests/failure_combinations_test.cpp
+++ b/tests/failure_combinations_test.cpp
@@ -292,9 +292,9 @@
   std::size_t met = 0;
   for (int i = 0; i < 6; ++i) {
     const auto l = r.leader();
-    const bool planned = l && r.run_until(60, [&] { return r.logged(*l, "to be released: idle") > met; });
+    const bool planned = l && r.run_until(60, [&] { return r.logged(*l, "reason=idle") > met; });
     if (!planned || r.leader() != l) break;
-    met = r.logged(*l, "to be released: idle");
+    met = r.logged(*l, "reason=idle");
     // It leads again as soon as its own lease has run out: no one else is there.
     for (std::size_t c = 0; c < 3; ++c) {
       if (c != *l) r.kill_for(c, 12);
@@ -476,7 +476,7 @@
   for (auto& w : r.workers()) w->hold_next_start(seconds(40));
   const JobId id = r.submit_array(1, 100);
   Worker* holder = nullptr;
-  ASSERT_TRUE(r.run_until(10, [&] { return r.logged(b.old, "task " + id.value() + "/0 attempt 1 placed") > 0; }));
+  ASSERT_TRUE(r.run_until(10, [&] { return r.logged(b.old, "task placed task=" + id.value() + "/0 attempt=1 ") > 0; }));
   const auto& machines = r.machines_of(b.old, id);
   for (auto& w : r.workers()) {
     if (machines.contains(w->id())) holder = w.get();
--- a/tools/served.py
+++ b/tools/served.py
@@ -20,11 +20,31 @@
 from collections import defaultdict
 
 LINE = re.compile(r"^\s*(?:([\d.]+)\s+(\S+)\s+)?(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d+)\S*\s+\S+\s+(.*)$")
-TAKEN = re.compile(r"job (\S+) taken: (\d+) tasks of (\S+), team (\S+), ([\d.]+) GPUs each, estimated ([\d.]+) s(?:, due in ([\d.]+) s)?")
-DONE = re.compile(r"job (\S+) done after ([\d.]+) s(?:, its tasks ran ([\d.]+) s)?")
-ALL_RUN = re.compile(r"job (\S+) runs: all \d+ tasks began within ([\d.]+) s")
-RUNS = re.compile(r"task (\S+)/(\d+) runs on ")
-OFF = re.compile(r"task (\S+)/(\d+) (?:ended on|is off)")
+# Each event in the form that controllers write now, and in the one that the logs of earlier versions have (journal/,
+# incidents). Both have the same groups.
+ACCEPTED = (
+    re.compile(
+        r"job accepted job=(\S+) tasks=(\d+) class=(\S+) team=(\S+) gpus=([\d.e+-]+) estimate_s=([\d.e+-]+)"
+        r"(?: deadline_s=([\d.e+-]+))?"
+    ),
+    re.compile(
+        r"job (\S+) taken: (\d+) tasks of (\S+), team (\S+), ([\d.]+) GPUs each, estimated ([\d.]+) s"
+        r"(?:, due in ([\d.]+) s)?"
+    ),
+)
+DONE = (
+    re.compile(r"job done job=(\S+) after_s=([\d.]+)(?: task_run_s=([\d.]+))?"),
+    re.compile(r"job (\S+) done after ([\d.]+) s(?:, its tasks ran ([\d.]+) s)?"),
+)
+ALL_RUN = (
+    re.compile(r"job running job=(\S+) tasks=\d+ after_s=([\d.]+)"),
+    re.compile(r"job (\S+) runs: all \d+ tasks began within ([\d.]+) s"),
+)
+RUNS = (re.compile(r"task running task=(\S+)/(\d+) "), re.compile(r"task (\S+)/(\d+) runs on "))
+OFF = (
+    re.compile(r"task (?:ended|released) task=(\S+)/(\d+) "),
+    re.compile(r"task (\S+)/(\d+) (?:ended on|is off)"),
+)
 HALF = 0.5
 
 
@@ -63,6 +83,11 @@
             self.gpu_s += (at - began) * self.gpus
 
 
+def match_any(patterns, text):
+    """The first match of the patterns, or None."""
+    return next((match for pattern in patterns if (match := pattern.match(text))), None)
+
+
 def read(lines, jobs, clock):
     """Adds what the lines tell to `jobs`; `clock` remembers the first time of lines without seconds of their own."""
     for line in lines:
@@ -75,18 +100,18 @@
             stamp = datetime.datetime.fromisoformat(m[3]).timestamp()
             at = stamp - clock.setdefault("first", stamp)
         text = m[4]
-        if t := TAKEN.match(text):
+        if t := match_any(ACCEPTED, text):
             jobs.setdefault(t[1], Job(at, t))  # a later leader tells of it no second time, another log may
-        elif t := RUNS.match(text):
+        elif t := match_any(RUNS, text):
             if t[1] in jobs:
                 jobs[t[1]].runs(int(t[2]), at)
-        elif t := OFF.match(text):
+        elif t := match_any(OFF, text):
             if t[1] in jobs:
                 jobs[t[1]].off(int(t[2]), at)
-        elif t := ALL_RUN.match(text):
+        elif t := match_any(ALL_RUN, text):
             if t[1] in jobs:
                 jobs[t[1]].all_run(float(t[2]))
-        elif t := DONE.match(text):
+        elif t := match_any(DONE, text):
             if t[1] in jobs and jobs[t[1]].done_s is None:
                 jobs[t[1]].ended(float(t[2]), float(t[3]) if t[3] else None)
 
--- a/tools/served_test.py
+++ b/tools/served_test.py
@@ -30,6 +30,28 @@
 """
 
 
+# The same two logs as earlier versions wrote them: those of the journal and of incidents are read still.
+EARLIER_LOG, EARLIER_INFO_LOG = LOG, INFO_LOG
+LOG = """\
+   10.0 stall-1 2026-09-21T14:13:30.476 info job accepted job=job-000001 tasks=2 class=scan team=red gpus=1 estimate_s=30 deadline_s=70
+   10.0 stall-1 2026-09-21T14:13:30.476 info job accepted job=job-000002 tasks=1 class=train team=blue gpus=4 estimate_s=30
+   12.0 stall-1 2026-09-21T14:13:32.476 info task running task=job-000001/0 machine=i-1 after_s=0.100
+   20.0 stall-1 2026-09-21T14:13:40.476 info task running task=job-000002/0 machine=i-2 after_s=0.100
+   30.0 stall-1 2026-09-21T14:13:50.476 info task running task=job-000001/1 machine=i-1 after_s=0.100
+   50.0 stall-1 2026-09-21T14:14:10.476 info task ended task=job-000002/0 machine=i-2 cause=done
+   50.0 stall-1 2026-09-21T14:14:10.476 info job done job=job-000002 after_s=40.000 task_run_s=30.000
+   60.0 stall-1 2026-09-21T14:14:20.476 info task ended task=job-000001/0 machine=i-1 cause=done
+  101.0 stall-1 2026-09-21T14:15:01.476 info task released task=job-000001/1 machine=i-1 reason=lease_expired
+  101.0 stall-1 2026-09-21T14:15:01.476 info job done job=job-000001 after_s=91.000 task_run_s=119.000
+   11.0 stall-1 2026-09-21T14:13:31.476 info job accepted job=job-000003 tasks=1 class=scan team=blue gpus=1 estimate_s=30 deadline_s=70
+"""
+INFO_LOG = """\
+   10.0 stall-1 2026-09-21T14:13:30.476 info job accepted job=job-000001 tasks=2 class=scan team=red gpus=1.5 estimate_s=30 deadline_s=70
+   30.0 stall-1 2026-09-21T14:13:50.476 info job running job=job-000001 tasks=2 after_s=20.000
+  101.0 stall-1 2026-09-21T14:15:01.476 info job done job=job-000001 after_s=91.000 task_run_s=119.000
+"""
+
+
 def run(*argv):
     out = io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
@@ -38,10 +60,13 @@
 
 
 class ServedTest(unittest.TestCase):
+    text = LOG
+    info_text = INFO_LOG
+
     def setUp(self):
         self.dir = tempfile.TemporaryDirectory()
         self.addCleanup(self.dir.cleanup)
-        self.log = self.file("log", LOG)
+        self.log = self.file("log", self.text)
 
     def file(self, name, text):
         path = os.path.join(self.dir.name, name)
@@ -67,7 +92,7 @@
         self.assertEqual(1, code, "a pair of which nothing is served ends the program with 1")
 
     def test_jobs_whose_tasks_are_not_told_one_by_one(self):
-        code, out = run(self.file("info", INFO_LOG), "--json")
+        code, out = run(self.file("info", self.info_text), "--json")
         self.assertEqual(0, code)
         scan = {(r["class"], r["team"]): r for r in json.loads(out)["rows"]}["scan", "red"]
         self.assertEqual((1.0, 1.0, 20.0), (scan["started"], scan["done"], scan["wait_median_s"]))
@@ -95,5 +120,10 @@
         self.assertEqual(2, run(self.log, "--report", self.file("bad", "{"))[0])
 
 
+class EarlierLogsTest(ServedTest):
+    text = EARLIER_LOG
+    info_text = EARLIER_INFO_LOG
+
+
 if __name__ == "__main__":
     unittest.main()
