--- a/tests/shortage_test.cpp
+++ b/tests/shortage_test.cpp
@@ -14,7 +14,7 @@
   explicit Rush(double weight) : Rush(options(weight), {"g", {64, 8, 512}, 1000, 1, 10, 3, 40, {"a"}}) {}
   Rush(Scheduler::Options options, MachineType type)
       : s_(std::move(options), [this](const std::string& line) {
-          if (line.find("without a place") != std::string::npos) fleet_line_ = line;
+          if (line.find("fleet busy=") != std::string::npos) fleet_line_ = line;
         }) {
     gpus_ = type.room.gpus > 0 ? 1 : 0;
     s_.set_types({std::move(type)});
@@ -216,7 +216,7 @@
     r.job(i, spec);
   }
   r.run(20);
-  EXPECT_NE(std::string::npos, r.fleet_line().find("of 2 jobs without a place, 1 of them deferred")) << r.fleet_line();
+  EXPECT_NE(std::string::npos, r.fleet_line().find("pending_jobs=2 deferred_jobs=1")) << r.fleet_line();
 }
 
 }  // namespace
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -139,7 +139,9 @@
     f.shortage = true;
     f.machine_death = 0.01;
     sim::World world{seed, f};
-    world.trace = [&](const std::string& line) { deferred += line.ends_with(" of them deferred") ? 1 : 0; };
+    world.trace = [&](const std::string& line) {
+      deferred += line.find("fleet busy=") != std::string::npos && !line.ends_with(" deferred_jobs=0") ? 1 : 0;
+    };
     world.run(350);
   }
   EXPECT_GT(deferred, 0U) << "else the property above would show nothing of it";
