--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -3,17 +3,19 @@
 
     tools/scale_run.py PLAN.toml [--scale F] [--calm] [--build DIR] [--report FILE.json] [--plot FILE.png] [--logs DIR]
 
---scale: that factor on machines, teams (their number where they are `copies`, else their limits) and jobs (default 1). --calm: none of the plan's events.
-
-A plan has one or more cells; each has controllers (the program of deploy/service.toml), a state service, and one process
-with its hollow workers, cloud, users and the judge of PROTOCOL's rules (`martenwall_stand_in`, -DMARTENWALL_SCALE=ON).
-All speak over 127.0.0.1. The report tells, cell by cell: throughput, quantiles of start delay by class, processor time and
-memory of each process from the kernel's own count, bytes a worker, changes of the state service a start, and the rules
-broken. Exit code 0; 1 where a rule was broken, a controller ended by itself or jobs were left open; 2 for a plan or a
-machine that cannot play it. Ctrl-C ends all processes; when this program dies, they die with it.
-
-A plan's [properties] go behind those of deploy/run.properties. Times in a plan are seconds from the first submission. See scale/plans/ for plans. Needs Debian's python3-numpy and, for
---plot, python3-matplotlib.
+--scale: that factor on machines, teams (their number where they are `copies`, else their limits) and jobs (default
+1). --calm: none of the plan's events.
+
+A plan has one or more cells; each has controllers (the program of deploy/service.toml), a state service, and one
+process with its hollow workers, cloud, users and the judge of PROTOCOL's rules (`martenwall_stand_in`,
+-DMARTENWALL_SCALE=ON). All speak over 127.0.0.1. The report tells, cell by cell: throughput, quantiles of start delay
+by class, processor time and memory of each process from the kernel's own count, bytes a worker, changes of the state
+service a start, and the rules broken. Exit code 0; 1 where a rule was broken, a controller ended by itself or jobs
+were left open; 2 for a plan or a machine that cannot play it. Ctrl-C ends all processes; when this program dies, they
+die with it.
+
+A plan's [properties] go behind those of deploy/run.properties. Times in a plan are seconds from the first submission.
+See scale/plans/ for plans. Needs Debian's python3-numpy and, for --plot, python3-matplotlib.
 """
 import argparse
 import ctypes
@@ -55,8 +57,8 @@
 
 
 class Ports:
-    """Free ports of 127.0.0.1 below the range that the kernel draws from, so that no outgoing connection takes one. A run
-    holds the first port of its block, so that two runs at once take different blocks."""
+    """Free ports of 127.0.0.1 below the range that the kernel draws from, so that no outgoing connection takes one.
+    A run holds the first port of its block, so that two runs at once take different blocks."""
 
     def __init__(self):
         for block in range(PORT_BLOCKS):
@@ -104,8 +106,13 @@
             json.dump(patch, f)
         node = self.nodes[self.sent % len(self.nodes)]
         self.sent += 1
-        child = subprocess.Popen([self.program, "config", "apply", path, "--node", node], stdout=subprocess.PIPE,
-                                 stderr=subprocess.STDOUT, text=True, preexec_fn=die_with_parent)
+        child = subprocess.Popen(
+            [self.program, "config", "apply", path, "--node", node],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+            preexec_fn=die_with_parent,
+        )
         self.running.append((time.time(), child, (patch, folder) if insist else None))
 
     def collect(self):
@@ -140,8 +147,12 @@
                 away = any(began < to and (when is None or when > start) for start, to in gaps.get(c.name, []))
                 if when is not None and not away:
                     delays.append(when - began)
-        return {"outcomes": self.outcomes, "versions": len(self.began), "in_force_s": quantiles(delays),
-                "measured": len(delays)}
+        return {
+            "outcomes": self.outcomes,
+            "versions": len(self.began),
+            "in_force_s": quantiles(delays),
+            "measured": len(delays),
+        }
 
 
 class Process:
@@ -157,8 +168,9 @@
 
     def start(self):
         with open(self.log, "ab") as log:
-            self.child = subprocess.Popen(self.command, cwd=ROOT, stdout=log, stderr=log, stdin=subprocess.DEVNULL,
-                                          preexec_fn=die_with_parent)
+            self.child = subprocess.Popen(
+                self.command, cwd=ROOT, stdout=log, stderr=log, stdin=subprocess.DEVNULL, preexec_fn=die_with_parent
+            )
 
     def running(self):
         return self.child is not None and self.child.poll() is None
@@ -238,8 +250,11 @@
         store["value_bytes"] = int(store.pop("value_kb") * 1024)
         self.changes = Changes(f"{build}/martenwall", links)
         self.gaps = {}
-        self.store = Process("store", [f"{build}/scale/martenwall_stand_in", "store", self.write("store.json", store)],
-                             f"{folder}/store.log")
+        self.store = Process(
+            "store",
+            [f"{build}/scale/martenwall_stand_in", "store", self.write("store.json", store)],
+            f"{folder}/store.log",
+        )
         run = shlex.split(service_line("run"))
         run[0] = f"{build}/martenwall"
         if "properties" in plan:
@@ -247,20 +262,38 @@
             run[at] = self.properties(run[at], plan["properties"])
         self.controllers = []
         for i, node in enumerate(names):
-            others = [{"member": n, "domain": self.zone(k), "endpoint": links[k]}
-                      for k, n in enumerate(names) if k != i]
-            settings = {"member": node, "domain": self.zone(i), "bind": users[i], "cluster_listen": links[i],
-                        "others": others, "external": {"cloud": cloud, "state": state}, "facts": self.facts()}
+            others = [
+                {"member": n, "domain": self.zone(k), "endpoint": links[k]} for k, n in enumerate(names) if k != i
+            ]
+            settings = {
+                "member": node,
+                "domain": self.zone(i),
+                "bind": users[i],
+                "cluster_listen": links[i],
+                "others": others,
+                "external": {"cloud": cloud, "state": state},
+                "facts": self.facts(),
+            }
             command = [*run, self.write(f"{node}.json", settings)]
             self.controllers.append(Process(node, command, f"{folder}/{node}.log"))
-        field = {key: plan[key] for key in ("workers", "flavors", "zones", "machines", "teams", "classes", "arrivals_s")}
+        field = {
+            key: plan[key] for key in ("workers", "flavors", "zones", "machines", "teams", "classes", "arrivals_s")
+        }
         field.update({key: plan[key] for key in ("begin_s", "drain_s", "seed") if key in plan})
         self.result = f"{folder}/result.json"
-        field.update({"cloud_listen": cloud, "result": self.result,
-                      "controllers": [{"name": n, "users": u} for n, u in zip(names, users)],
-                      "events": [e for e in self.events if e["kind"] in FIELD_EVENTS]})
-        self.field = Process("field", [f"{build}/scale/martenwall_stand_in", "field", self.write("field.json", field)],
-                             f"{folder}/field.log")
+        field.update(
+            {
+                "cloud_listen": cloud,
+                "result": self.result,
+                "controllers": [{"name": n, "users": u} for n, u in zip(names, users)],
+                "events": [e for e in self.events if e["kind"] in FIELD_EVENTS],
+            }
+        )
+        self.field = Process(
+            "field",
+            [f"{build}/scale/martenwall_stand_in", "field", self.write("field.json", field)],
+            f"{folder}/field.log",
+        )
 
     def write(self, name, value):
         path = f"{self.folder}/{name}"
@@ -282,15 +315,30 @@
 
     def facts(self):
         plan = self.plan
-        objectives = [{"kind": "wait", "class": c["name"], "within_s": c["begin_within_s"], "share": 0.9}
-                      for c in plan["classes"] if "begin_within_s" in c]
+        objectives = [
+            {"kind": "wait", "class": c["name"], "within_s": c["begin_within_s"], "share": 0.9}
+            for c in plan["classes"]
+            if "begin_within_s" in c
+        ]
         state = {key: plan["state"][key] for key in ("value_kb",)}
-        state.update({"rps": plan["state"]["requests_per_s"], "write_rps": plan["state"]["changes_per_s"],
-                      "txn_ops": plan["state"]["txn_changes"]})
-        return {"nodes": plan["controllers"], "zones": plan["zones"], "teams": plan["teams"], "objectives": objectives,
-                "workers": plan["workers"], "state": state, "cloud": plan.get("cloud", {"rps": 10.0, "list_lag_s": 3.0}),
-                "resources": {"cpu_share": 1.0, "mem_mb": 188.0, "max_connections": plan.get("max_connections", 4000)},
-                "clock_off_ms": 5.0}
+        state.update(
+            {
+                "rps": plan["state"]["requests_per_s"],
+                "write_rps": plan["state"]["changes_per_s"],
+                "txn_ops": plan["state"]["txn_changes"],
+            }
+        )
+        return {
+            "nodes": plan["controllers"],
+            "zones": plan["zones"],
+            "teams": plan["teams"],
+            "objectives": objectives,
+            "workers": plan["workers"],
+            "state": state,
+            "cloud": plan.get("cloud", {"rps": 10.0, "list_lag_s": 3.0}),
+            "resources": {"cpu_share": 1.0, "mem_mb": 188.0, "max_connections": plan.get("max_connections", 4000)},
+            "clock_off_ms": 5.0,
+        }
 
     def processes(self):
         return [self.store, *self.controllers, self.field]
@@ -358,14 +406,18 @@
     if not values:
         return None
     return {f"p{q * 100:g}": round(float(numpy.quantile(values, q)), 3) for q in QUANTILES} | {
-        "max": round(float(max(values)), 3)}
+        "max": round(float(max(values)), 3)
+    }
 
 
 def process_figures(process, length_s):
     steps = numpy.diff(process.cpu) if len(process.cpu) > 1 else numpy.array([0.0])
-    return {"cpu_s": round(process.cpu[-1] if process.cpu else 0.0, 2),
-            "core_mean": round((process.cpu[-1] if process.cpu else 0.0) / max(length_s, 1e-9), 4),
-            "core_peak": round(float(steps.max()), 3), "peak_mb": round(process.peak_mb, 1)}
+    return {
+        "cpu_s": round(process.cpu[-1] if process.cpu else 0.0, 2),
+        "core_mean": round((process.cpu[-1] if process.cpu else 0.0) / max(length_s, 1e-9), 4),
+        "core_peak": round(float(steps.max()), 3),
+        "peak_mb": round(process.peak_mb, 1),
+    }
 
 
 def cell_report(cell, counters, length_s):
@@ -380,16 +432,27 @@
         classes[name] = {k: c[k] for k in ("jobs", "tasks", "begun", "done", "cancelled")}
         classes[name]["begin_delay_s"] = quantiles(c["begin_delay_s"])
     return {
-        "breaches": r["breaches"], "ended_by_itself": cell.ended_by_itself, "open_jobs": r["open_jobs"],
-        "killed": cell.killed, "length_s": round(length_s, 1), "machines": workers["machines"],
-        "tasks_started": r["started"], "starts_a_second": quantiles([float(s) for s in starts if s > 0]),
-        "most_on_machines": max(r["on_machines"], default=0), "classes": classes, "submit_s": quantiles(r["submit_s"]),
-        "errors": r["errors"], "polls": r["polls"], "lost_to_lease": workers["lost_to_lease"],
+        "breaches": r["breaches"],
+        "ended_by_itself": cell.ended_by_itself,
+        "open_jobs": r["open_jobs"],
+        "killed": cell.killed,
+        "length_s": round(length_s, 1),
+        "machines": workers["machines"],
+        "tasks_started": r["started"],
+        "starts_a_second": quantiles([float(s) for s in starts if s > 0]),
+        "most_on_machines": max(r["on_machines"], default=0),
+        "classes": classes,
+        "submit_s": quantiles(r["submit_s"]),
+        "errors": r["errors"],
+        "polls": r["polls"],
+        "lost_to_lease": workers["lost_to_lease"],
         "worker_bytes_a_second": round(payload / worker_seconds, 1),
         "worker_busiest_bytes_in_a_second": workers["busiest_bytes_in_a_second"],
         "reports_a_second": round(workers["reports"] / length_s, 1),
-        "store": counters, "changes_a_start": round((counters or {}).get("changes", 0) / started, 4),
-        "cloud_calls": r["cloud_calls"], "longest_tick_s": r["longest_tick_s"],
+        "store": counters,
+        "changes_a_start": round((counters or {}).get("changes", 0) / started, 4),
+        "cloud_calls": r["cloud_calls"],
+        "longest_tick_s": r["longest_tick_s"],
         "controllers": {c.name: process_figures(c, length_s) for c in cell.controllers},
         "stand_ins": {p.name: process_figures(p, length_s) for p in (cell.store, cell.field)},
         "log_bytes": {c.name: os.path.getsize(c.log) for c in cell.controllers},
@@ -400,8 +463,10 @@
 
 def plot(report, path):
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, (top, bottom) = pyplot.subplots(2, 1, sharex=True, figsize=(9, 6))
     for name, cell in report["cells"].items():
         top.plot(cell["series"]["starts_a_second"], label=name, linewidth=0.8)
@@ -422,11 +487,17 @@
             verdict += f"; ENDED BY THEMSELVES: {c['ended_by_itself']}"
         if c["open_jobs"]:
             verdict += f"; {c['open_jobs']} JOBS LEFT OPEN"
-        lines.append(f"{name}: {verdict}; {c['machines']} machines, {c['tasks_started']} tasks started, starts a second "
-                     f"{c['starts_a_second']}, at most {c['most_on_machines']} on machines")
+        lines.append(
+            f"{name}: {verdict}; {c['machines']} machines, {c['tasks_started']} tasks started, starts a second "
+            f"{c['starts_a_second']}, at most {c['most_on_machines']} on machines"
+        )
         for lane, k in c["classes"].items():
-            lines.append(f"  {lane}: {k['jobs']} jobs, {k['begun']} begun, {k['done']} done; begin delay {k['begin_delay_s']}")
-        lines.append(f"  submissions {c['submit_s']} s; errors {c['errors']}; store {c['changes_a_start']} changes a start")
+            lines.append(
+                f"  {lane}: {k['jobs']} jobs, {k['begun']} begun, {k['done']} done; begin delay {k['begin_delay_s']}"
+            )
+        lines.append(
+            f"  submissions {c['submit_s']} s; errors {c['errors']}; store {c['changes_a_start']} changes a start"
+        )
         if c["configuration"]:
             lines.append(f"  configuration: {c['configuration']}")
         for who, p in {**c["controllers"], **c["stand_ins"]}.items():
--- a/tools/scale_run_test.py
+++ b/tools/scale_run_test.py
@@ -1,4 +1,7 @@
-"""The scale run at its smallest: real controllers and stand-ins over loopback. MARTENWALL_BUILD: where they were built."""
+"""The scale run at its smallest: real controllers and stand-ins over loopback.
+
+MARTENWALL_BUILD: where they were built.
+"""
 import contextlib
 import io
 import json
@@ -67,8 +70,11 @@
 
     def test_an_interrupted_run_leaves_no_process(self):
         logs = f"{self.folder}/logs"
-        run = subprocess.Popen([sys.executable, scale_run.__file__, TINY, "--build", BUILD, "--logs", logs],
-                               stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+        run = subprocess.Popen(
+            [sys.executable, scale_run.__file__, TINY, "--build", BUILD, "--logs", logs],
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+        )
         deadline = time.monotonic() + 30
         while len(stand_ins_of(logs)) < 5 and time.monotonic() < deadline:
             time.sleep(0.1)
--- a/tools/served.py
+++ b/tools/served.py
@@ -3,14 +3,15 @@
 
     tools/served.py LOG... [--from S] [--until S] [--report FILE] [--json]
 
-LOG: what the controllers wrote, `LOG_LEVEL=info` or `debug`, one file or several; lines may begin with seconds and a node's name, else
-the time in the line counts. Jobs taken from --from to --until are counted, in seconds since the first line (default: all).
---report: a run's report (JSON with `targets`); what it says of each class by its loosest aim is told beside, since users
-count from their first attempt and the log from the moment when a job was taken.
-
-Columns: jobs taken; started (all tasks ran once); done; done within 1 and 1.5 times the deadline, of those that have one;
-median and 95th of the wait until all tasks ran, s; GPU-seconds run (at `info` those of jobs that ended, at `debug` of all); served: the least of started, done and done within 1.5
-times the deadline. Less than half served is marked, and ends the program with 1; unreadable input with 2.
+LOG: what the controllers wrote, `LOG_LEVEL=info` or `debug`, one file or several; lines may begin with seconds and a
+node's name, else the time in the line counts. Jobs taken from --from to --until are counted, in seconds since the
+first line (default: all). --report: a run's report (JSON with `targets`); what it says of each class by its loosest
+aim is told beside, since users count from their first attempt and the log from the moment when a job was taken.
+
+Columns: jobs taken; started (all tasks ran once); done; done within 1 and 1.5 times the deadline, of those that have
+one; median and 95th of the wait until all tasks ran, s; GPU-seconds run (at `info` those of jobs that ended, at
+`debug` of all); served: the least of started, done and done within 1.5 times the deadline. Less than half served is
+marked, and ends the program with 1; unreadable input with 2.
 """
 import argparse
 import datetime
@@ -20,7 +21,10 @@
 from collections import defaultdict
 
 LINE = re.compile(r"^\s*(?:([\d.]+)\s+(\S+)\s+)?(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d+)\S*\s+\S+\s+(.*)$")
-TAKEN = re.compile(r"job (\S+) taken: (\d+) tasks of (\S+), team (\S+), ([\d.]+) GPUs each, estimated ([\d.]+) s(?:, due in ([\d.]+) s)?")
+TAKEN = re.compile(
+    r"job (\S+) taken: (\d+) tasks of (\S+), team (\S+), ([\d.]+) GPUs each, estimated ([\d.]+) s"
+    r"(?:, due in ([\d.]+) s)?"
+)
 DONE = re.compile(r"job (\S+) done after ([\d.]+) s(?:, its tasks ran ([\d.]+) s)?")
 ALL_RUN = re.compile(r"job (\S+) runs: all \d+ tasks began within ([\d.]+) s")
 RUNS = re.compile(r"task (\S+)/(\d+) runs on ")
@@ -139,13 +143,20 @@
 
 
 def show(rows):
-    print(f"{'class':18}{'team':18}{'taken':>6}{'start':>7}{'done':>7}{'1x':>7}{'1.5x':>7}{'median':>8}{'95th':>8}{'GPU-s':>10}{'served':>8}")
+    print(
+        f"{'class':18}{'team':18}{'taken':>6}{'start':>7}{'done':>7}{'1x':>7}{'1.5x':>7}"
+        f"{'median':>8}{'95th':>8}{'GPU-s':>10}{'served':>8}"
+    )
     for r in rows:
         cells = [f"{r[k]:.3f}" if r[k] is not None else "-" for k in ("started", "done", "in_1x", "in_1.5x")]
         waits = [f"{r[k]:.0f}" if r[k] is not None else "-" for k in ("wait_median_s", "wait_95th_s")]
         mark = "  LESS THAN HALF" if r["served"] < HALF else ""
-        print(f"{r['class'] or 'all':18}{r['team'] or 'all':18}{r['taken']:>6}" + "".join(f"{c:>7}" for c in cells)
-              + "".join(f"{w:>8}" for w in waits) + f"{r['gpu_s']:>10.0f}{r['served']:>8.3f}{mark}")
+        print(
+            f"{r['class'] or 'all':18}{r['team'] or 'all':18}{r['taken']:>6}"
+            + "".join(f"{c:>7}" for c in cells)
+            + "".join(f"{w:>8}" for w in waits)
+            + f"{r['gpu_s']:>10.0f}{r['served']:>8.3f}{mark}"
+        )
 
 
 def main(argv):
--- a/tools/served_test.py
+++ b/tools/served_test.py
@@ -8,8 +8,10 @@
 import served
 
 LOG = """\
-   10.0 stall-1 2026-09-21T14:13:30.476 info job job-000001 taken: 2 tasks of scan, team red, 1.000000 GPUs each, estimated 30.0 s, due in 70.0 s
-   10.0 stall-1 2026-09-21T14:13:30.476 info job job-000002 taken: 1 tasks of train, team blue, 4.000000 GPUs each, estimated 30.0 s
+   10.0 stall-1 2026-09-21T14:13:30.476 info job job-000001 taken: 2 tasks of scan, team red, 1.000000 GPUs each, \
+estimated 30.0 s, due in 70.0 s
+   10.0 stall-1 2026-09-21T14:13:30.476 info job job-000002 taken: 1 tasks of train, team blue, 4.000000 GPUs each, \
+estimated 30.0 s
    12.0 stall-1 2026-09-21T14:13:32.476 info task job-000001/0 runs on i-1, 0.1 s after its placement
    20.0 stall-1 2026-09-21T14:13:40.476 info task job-000002/0 runs on i-2, 0.1 s after its placement
    30.0 stall-1 2026-09-21T14:13:50.476 info task job-000001/1 runs on i-1, 0.1 s after its placement
@@ -18,13 +20,15 @@
    60.0 stall-1 2026-09-21T14:14:20.476 info task job-000001/0 ended on i-1: done
   101.0 stall-1 2026-09-21T14:15:01.476 info task job-000001/1 ended on i-1: done
   101.0 stall-1 2026-09-21T14:15:01.476 info job job-000001 done after 91.0 s
-   11.0 stall-1 2026-09-21T14:13:31.476 info job job-000003 taken: 1 tasks of scan, team blue, 1.000000 GPUs each, estimated 30.0 s, due in 70.0 s
+   11.0 stall-1 2026-09-21T14:13:31.476 info job job-000003 taken: 1 tasks of scan, team blue, 1.000000 GPUs each, \
+estimated 30.0 s, due in 70.0 s
 """
 
 
 # What is written at `info`: no line a task.
 INFO_LOG = """\
-   10.0 stall-1 2026-09-21T14:13:30.476 info job job-000001 taken: 2 tasks of scan, team red, 1.500000 GPUs each, estimated 30.0 s, due in 70.0 s
+   10.0 stall-1 2026-09-21T14:13:30.476 info job job-000001 taken: 2 tasks of scan, team red, 1.500000 GPUs each, \
+estimated 30.0 s, due in 70.0 s
    30.0 stall-1 2026-09-21T14:13:50.476 info job job-000001 runs: all 2 tasks began within 20.0 s
   101.0 stall-1 2026-09-21T14:15:01.476 info job job-000001 done after 91.0 s, its tasks ran 119.0 s
 """
@@ -55,8 +59,18 @@
 
     def test_classes_teams_and_both_are_told_apart(self):
         code, rows = self.rows()
-        self.assertEqual({("scan", ""), ("train", ""), ("", "red"), ("", "blue"), ("scan", "red"), ("scan", "blue"),
-                          ("train", "blue")}, set(rows))
+        self.assertEqual(
+            {
+                ("scan", ""),
+                ("train", ""),
+                ("", "red"),
+                ("", "blue"),
+                ("scan", "red"),
+                ("scan", "blue"),
+                ("train", "blue"),
+            },
+            set(rows),
+        )
         scan = rows["scan", "red"]
         self.assertEqual((1, 0.0, 1.0), (scan["taken"], scan["in_1x"], scan["in_1.5x"]))
         self.assertEqual(20.0, scan["wait_median_s"])
@@ -79,10 +93,18 @@
         self.assertNotIn(("scan", "blue"), rows)
 
     def test_a_report_is_judged_by_the_loosest_aim(self):
-        report = self.file("report", json.dumps({"targets": [
-            {"kind": "deadline", "class": "scan", "times": 1.0, "value": 0.2},
-            {"kind": "deadline", "class": "scan", "times": 1.5, "value": 0.6},
-            {"kind": "price", "value": 0.1}]}))
+        report = self.file(
+            "report",
+            json.dumps(
+                {
+                    "targets": [
+                        {"kind": "deadline", "class": "scan", "times": 1.0, "value": 0.2},
+                        {"kind": "deadline", "class": "scan", "times": 1.5, "value": 0.6},
+                        {"kind": "price", "value": 0.1},
+                    ]
+                }
+            ),
+        )
         code, out = run(self.log, "--until", "10.5", "--report", report)
         self.assertEqual(0, code)
         self.assertIn("scan deadline 1.5: 0.600", out)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -4,10 +4,11 @@
     tools/slopes.py target/bench/bench/martenwall_slopes [--filter REGEX] [--json FILE]
     tools/slopes.py --from FILE
 
-Needs Debian's python3-numpy, hence Debian's own Python. The first form runs the program and keeps what it measured in FILE, the second reads such a file. A benchmark's argument
-is the amount; fitted is its counter `bytes` where it has one above 0, else its time in microseconds (the median of three
-repetitions). Columns: cost of one more, cost that is there without any, the largest deviation of a point from the line
-(part of the largest point), and the points. A benchmark of fewer than four amounts is an error (exit code 2).
+Needs Debian's python3-numpy, hence Debian's own Python. The first form runs the program and keeps what it measured in
+FILE, the second reads such a file. A benchmark's argument is the amount; fitted is its counter `bytes` where it has
+one above 0, else its time in microseconds (the median of three repetitions). Columns: cost of one more, cost that is
+there without any, the largest deviation of a point from the line (part of the largest point), and the points. A
+benchmark of fewer than four amounts is an error (exit code 2).
 """
 import argparse
 import json
@@ -44,8 +45,14 @@
     x, y = (numpy.array(column) for column in zip(*pairs))
     slope, base = numpy.polyfit(x, y, 1)
     deviation = float(numpy.max(numpy.abs(y - (slope * x + base))) / max(float(numpy.max(y)), 1e-12))
-    return {"name": name, "unit": unit, "slope": float(slope), "base": float(base), "deviation": deviation,
-            "points": pairs}
+    return {
+        "name": name,
+        "unit": unit,
+        "slope": float(slope),
+        "base": float(base),
+        "deviation": deviation,
+        "points": pairs,
+    }
 
 
 def number(value):
@@ -53,12 +60,16 @@
 
 
 def table(rows):
-    lines = ["| cost | unit | one more | without any | largest deviation | measured (amount: cost) |",
-             "| --- | --- | --- | --- | --- | --- |"]
+    lines = [
+        "| cost | unit | one more | without any | largest deviation | measured (amount: cost) |",
+        "| --- | --- | --- | --- | --- | --- |",
+    ]
     for r in rows:
         measured = ", ".join(f"{number(x)}: {number(y)}" for x, y in r["points"])
-        lines.append(f"| {r['name']} | {r['unit']} | {number(r['slope'])} | {number(r['base'])} | {r['deviation']:.1%} | "
-                     f"{measured} |")
+        lines.append(
+            f"| {r['name']} | {r['unit']} | {number(r['slope'])} | {number(r['base'])} | {r['deviation']:.1%} | "
+            f"{measured} |"
+        )
     return "\n".join(lines)
 
 
@@ -76,8 +87,11 @@
             with open(args.source, encoding="utf-8") as f:
                 report = json.load(f)
         else:
-            done = subprocess.run([args.program, f"--benchmark_filter={args.filter}", "--benchmark_format=json"],
-                                  stdout=subprocess.PIPE, check=True)
+            done = subprocess.run(
+                [args.program, f"--benchmark_filter={args.filter}", "--benchmark_format=json"],
+                stdout=subprocess.PIPE,
+                check=True,
+            )
             report = json.loads(done.stdout)
             if args.json:
                 with open(args.json, "w", encoding="utf-8") as f:
--- a/tools/slopes_test.py
+++ b/tools/slopes_test.py
@@ -9,8 +9,12 @@
 
 
 def run_of(name, amount, real_time, size=0):
-    return {"run_name": f"{name}/{amount}/iterations:3/repeats:3/manual_time", "aggregate_name": "median",
-            "real_time": real_time, "bytes": size}
+    return {
+        "run_name": f"{name}/{amount}/iterations:3/repeats:3/manual_time",
+        "aggregate_name": "median",
+        "real_time": real_time,
+        "bytes": size,
+    }
 
 
 def run(report):
