--- a/src/service/configuration_changes.cpp
+++ b/src/service/configuration_changes.cpp
@@ -153,7 +153,7 @@
     out.why_not = "not all nodes run this version yet";
     co_return out;
   }
-  const auto stated = co_await store_.list("v/");
+  const auto stated = co_await store_.list(wire::node_format_version_prefix);
   const ReadResult lead = co_await store_.get(wire::leader_key, store_limit);
   if (!stated || lead.outcome != ReadOutcome::found) {
     out.why_not = "the state service does not answer, or no node leads";
--- a/src/service/configuration_service.cpp
+++ b/src/service/configuration_service.cpp
@@ -77,7 +77,7 @@
   }
   ctx_.policy = ctx_.configuration.policy;
   complaint_.clear();
-  ctx_.log->info("configuration version {} in force: {} teams", row.version.value(), ctx_.configuration.teams.size());
+  ctx_.log->info("configuration in force version={} teams={}", row.version.value(), ctx_.configuration.teams.size());
   if (ctx_.scheduler != nullptr) {
     ctx_.scheduler->configure(ctx_.configuration.teams, ctx_.configuration.policy);
     ctx_.cycle_due.notify();
@@ -86,7 +86,7 @@
 }
 
 void ConfigurationService::complain(const std::string& why) {
-  if (why != std::exchange(complaint_, why)) ctx_.log->error("configuration cannot be followed: {}", why);
+  if (why != std::exchange(complaint_, why)) ctx_.log->error("configuration not adopted: {}", why);
 }
 
 rt::Task<wire::PeerReply> ConfigurationService::tell() {
--- /dev/null
+++ b/src/service/dependency_lookups.cpp
@@ -0,0 +1,112 @@
+#include "service/dependency_lookups.hpp"
+
+#include <map>
+#include <string>
+#include <utility>
+
+namespace martenwall::service {
+
+namespace {
+constexpr Duration request_timeout = seconds(1);
+constexpr Duration lookup_interval = seconds(0.1);
+constexpr Duration failed_lookup_pause = seconds(0.2);  // an outage, or no request to spare
+constexpr Duration not_found_pause = seconds(1);        // a job that is to be found at neither key nor among those over
+constexpr std::size_t min_range_lookup = 3;  // so many ends are read in runs of neighbours rather than one by one
+}  // namespace
+
+rt::Task<void> DependencyLookups::run(std::uint64_t term) {
+  while (ctx_.leads(term)) {
+    std::vector<JobId> ids = ctx_.scheduler->take_lookups();
+    const auto began = ctx_.now();
+    const auto asked = ids.size();
+    answer_from_cache(ids);
+    if (asked > 0) ctx_.notify_pending_work();
+    if (ids.empty()) {
+      co_await ctx_.loop.sleep(lookup_interval);
+      continue;
+    }
+    const auto read = ids.size();
+    co_await look_up_all(term, std::move(ids));
+    ctx_.log->info("dependency ends looked up jobs={} from_store={} seconds={}", asked, read,
+                   to_seconds(ctx_.now() - began));
+  }
+}
+
+// Leaves in `ids` those that the cache does not know.
+void DependencyLookups::answer_from_cache(std::vector<JobId>& ids) {
+  std::erase_if(ids, [&](const JobId& id) {
+    const auto finished = ctx_.finished_jobs.find(id);
+    if (finished) ctx_.scheduler->on_end_looked_up(id, finished->phase, ctx_.now());
+    return finished.has_value();
+  });
+}
+
+rt::Task<void> DependencyLookups::look_up_all(std::uint64_t term, std::vector<JobId> ids) {
+  for (std::size_t next = 0; next < ids.size();) {
+    if (ids.size() - next < min_range_lookup) {
+      co_await look_up_one(term, ids[next++]);
+      if (!ctx_.leads(term)) co_return;
+      continue;
+    }
+    const auto page = co_await store_.page(wire::final_prefix, wire::just_before_final(ids[next]));
+    if (!ctx_.leads(term)) co_return;
+    if (!page) {
+      for (; next < ids.size(); ++next) ctx_.scheduler->retry_lookup(ids[next]);
+      co_await ctx_.loop.sleep(failed_lookup_pause);
+      co_return;
+    }
+    next = apply_page(term, ids, next, *page);
+    ctx_.notify_pending_work();
+  }
+}
+
+// Ends lie in the order of their keys: a page tells of all that are asked for between its first and its last. Returns
+// the index of the first id that it does not tell of.
+std::size_t DependencyLookups::apply_page(std::uint64_t term, const std::vector<JobId>& ids, std::size_t first,
+                                          const wire::StorePage& page) {
+  std::map<std::string, const wire::json*> ends;
+  for (const auto& item : page.items) ends.emplace(item.key, &item.value);
+  const auto covers = [&](const std::string& key) { return !page.more || ends.empty() || key <= ends.rbegin()->first; };
+  std::size_t next = first;
+  for (; next < ids.size() && covers(wire::final_key(ids[next])); ++next) {
+    const auto found = ends.find(wire::final_key(ids[next]));
+    const auto end = found == ends.end() ? std::nullopt : wire::decode_final(ids[next], *found->second);
+    if (end) {
+      on_end_found(ids[next], *end);
+    } else {
+      rt::spawn(adopt_unfinished(term, ids[next]));  // ends after one lookup, or with the term
+    }
+  }
+  return next;
+}
+
+rt::Task<void> DependencyLookups::look_up_one(std::uint64_t term, JobId id) {
+  const ReadResult read = co_await store_.get(wire::final_key(id), request_timeout);
+  if (!ctx_.leads(term)) co_return;
+  const auto end = read.outcome == ReadOutcome::found ? wire::decode_final(id, read.item.value) : std::nullopt;
+  if (end) {
+    on_end_found(id, *end);
+    ctx_.notify_pending_work();
+  } else if (read.outcome == ReadOutcome::absent) {
+    rt::spawn(adopt_unfinished(term, id));  // ends after one lookup, or with the term
+  } else {
+    ctx_.scheduler->retry_lookup(id);
+    co_await ctx_.loop.sleep(failed_lookup_pause);
+  }
+}
+
+void DependencyLookups::on_end_found(const JobId& id, const FinalJob& end) {
+  ctx_.finished_jobs.add({id, end.phase, end.done, 0});
+  ctx_.scheduler->on_end_looked_up(id, end.phase, ctx_.now());
+}
+
+// The job is not over: accepted at another node a moment ago, or its end comes between the two looks.
+rt::Task<void> DependencyLookups::adopt_unfinished(std::uint64_t term, JobId id) {
+  JobRowStore::Read read = co_await job_rows_.read(id);
+  if (!ctx_.leads(term)) co_return;
+  if (read.job) adopter_.adopt(term, std::move(*read.job), read.version);
+  if (ctx_.scheduler->find_job(id) == nullptr) co_await ctx_.loop.sleep(not_found_pause);
+  if (ctx_.leads(term)) ctx_.scheduler->retry_lookup(id);
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/dependency_lookups.hpp
@@ -0,0 +1,36 @@
+// Looks up the ends of jobs that others depend on and that the scheduler does not know.
+#pragma once
+#include <vector>
+
+#include "service/context.hpp"
+#include "service/job_adopter.hpp"
+#include "service/job_row_store.hpp"
+#include "service/store_client.hpp"
+
+namespace martenwall::service {
+
+// All its coroutines end where they find, after a suspension, that their term no longer leads.
+class DependencyLookups {
+ public:
+  DependencyLookups(Context& ctx, StoreClient& store, JobRowStore& job_rows, JobAdopter& adopter)
+      : ctx_(ctx), store_(store), job_rows_(job_rows), adopter_(adopter) {}
+
+  // Answers what the scheduler asks for until `term` is over. A lookup that fails is handed back to it.
+  rt::Task<void> run(std::uint64_t term);
+
+ private:
+  rt::Task<void> look_up_all(std::uint64_t term, std::vector<JobId> ids);
+  rt::Task<void> look_up_one(std::uint64_t term, JobId id);
+  std::size_t apply_page(std::uint64_t term, const std::vector<JobId>& ids, std::size_t first,
+                         const wire::StorePage& page);
+  rt::Task<void> adopt_unfinished(std::uint64_t term, JobId id);
+  void on_end_found(const JobId& id, const FinalJob& end);
+  void answer_from_cache(std::vector<JobId>& ids);
+
+  Context& ctx_;
+  StoreClient& store_;
+  JobRowStore& job_rows_;
+  JobAdopter& adopter_;
+};
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/fenced_writer.cpp
@@ -0,0 +1,193 @@
+#include "service/fenced_writer.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace martenwall::service {
+
+namespace {
+constexpr std::size_t max_in_flight = 4;  // transactions; more would only wait for this node's share of writes
+constexpr Duration request_timeout = seconds(1);
+constexpr Duration transaction_timeout = seconds(1.5);
+constexpr Duration transaction_retry_pause = seconds(0.1);
+constexpr Duration read_retry_pause = seconds(0.2);
+constexpr Duration too_large_pause = seconds(0.05);  // before rows that were divided are written
+constexpr Duration idle_pause = seconds(0.2);        // between two looks for deferrable writes
+}  // namespace
+
+// Transactions in flight at the same time touch different rows, so their order does not matter.
+rt::Task<void> FencedWriter::run(std::uint64_t term) {
+  while (ctx_.leads(term)) {
+    const bool deferrable = in_flight_ <= 1 && store_.has_unused_write_rate();
+    const bool has_room = in_flight_ < max_in_flight;
+    if (has_room) start_transactions(term, deferrable);
+    if (has_room && deferrable && !cleanup_.empty()) start_cleanup(term);
+    // A transaction may have ended the term already, before its first suspension.
+    if (!ctx_.leads(term)) co_return;
+    if (in_flight_ < max_in_flight && ctx_.scheduler->has_writes(false, ctx_.now())) continue;
+    const Time until = ctx_.now() + idle_pause;
+    co_await ctx_.writes_due.wait(until);
+  }
+}
+
+void FencedWriter::start_transactions(std::uint64_t term, bool deferrable) {
+  if (!ctx_.scheduler->has_writes(deferrable, ctx_.now())) return;
+  auto rows = ctx_.scheduler->take_writes(ctx_.limits.txn_ops() / 2, deferrable, ctx_.now());
+  for (auto& transaction : builder_.build(std::move(rows))) {
+    ++in_flight_;
+    rt::spawn(write_transaction(term, std::move(transaction)));  // ends with the term at the latest
+  }
+}
+
+void FencedWriter::start_cleanup(std::uint64_t term) {
+  ++in_flight_;
+  rt::spawn(write_transaction(term, builder_.build_cleanup(cleanup_)));  // ends with the term at the latest
+}
+
+rt::Task<void> FencedWriter::write_transaction(std::uint64_t term, FencedTransaction transaction) {
+  CommitOutcome outcome = CommitOutcome::stored;
+  if (!transaction.operations.empty()) outcome = co_await commit(term, transaction);
+  // `in_flight_` counts another term's transactions where this one is over.
+  if (ctx_.term != term) co_return;
+  --in_flight_;
+  switch (outcome) {
+    case CommitOutcome::stored:
+      on_stored(transaction.rows);
+      break;
+    case CommitOutcome::too_large:
+      // Not the end of a leadership: every successor would meet the same limit. The rows are divided again.
+      apply_row_size_limits(ctx_);
+      ctx_.scheduler->requeue_writes(transaction.rows, too_large_pause, ctx_.now());
+      break;
+    case CommitOutcome::lost:
+      co_await on_lost(term, std::move(transaction));
+      break;
+  }
+}
+
+void FencedWriter::on_stored(const std::vector<RowWrite>& rows) {
+  for (const auto& row : rows) {
+    if (!row.final_job) continue;
+    const auto& job = *row.final_job;
+    ctx_.finished_jobs.add({job.id, job.phase, job.done, 0});
+    cleanup_.add_chunks(row.chunk_keys);
+  }
+  ctx_.scheduler->on_rows_stored(rows, ctx_.now());
+  ctx_.write_committed.notify();
+  ctx_.writes_due.notify();
+  ctx_.notify_pending_work();  // the end of one job lets others start
+}
+
+rt::Task<void> FencedWriter::on_lost(std::uint64_t term, FencedTransaction transaction) {
+  if (transaction.rows.empty()) {
+    // Inbox entries are others' keys too: one that was written anew meanwhile says nothing of this leadership.
+    const bool ours = co_await still_leads(term);
+    if (ctx_.term != term) co_return;
+    if (ours) {
+      for (const auto& op : transaction.operations) cleanup_.requeue(op.key);
+      co_return;
+    }
+  }
+  // Another leader, or a lost picture of the keys: both mean starting over from the store.
+  election_.step_down(StepDownReason::transaction_conflict);
+}
+
+// Tries until the outcome is known. The same conditions hold each time, so at most one try is applied. One that was
+// called too large is not applied later either, since limits do not rise; but an earlier try may have been.
+rt::Task<FencedWriter::CommitOutcome> FencedWriter::commit(std::uint64_t term, const FencedTransaction& transaction) {
+  bool uncertain = false;
+  const Time began = ctx_.now();
+  while (ctx_.term == term) {
+    std::vector<wire::Condition> conditions = transaction.conditions;
+    std::vector<wire::StoreOp> operations = transaction.operations;
+    const TxnResult answer = co_await store_.txn(std::move(conditions), std::move(operations), transaction_timeout,
+                                                 StoreClient::Queueing::fifo);
+    if (ctx_.term != term) break;
+    switch (answer.outcome) {
+      case TxnOutcome::committed:
+        if (uncertain) log_uncertain(transaction, "stored");
+        record_versions(transaction, answer.revision);
+        ctx_.metrics.store_writes.observe(ctx_.now() - began);
+        co_return CommitOutcome::stored;
+      case TxnOutcome::conflict:
+      case TxnOutcome::no_lease:
+      case TxnOutcome::too_large:
+        co_return co_await settle_rejected(term, transaction, answer.outcome, uncertain);
+      case TxnOutcome::unknown:
+        if (!std::exchange(uncertain, true)) log_uncertain(transaction, "no_answer");
+        break;
+      case TxnOutcome::refused:
+        break;
+    }
+    co_await ctx_.loop.sleep(transaction_retry_pause);
+  }
+  if (uncertain) log_uncertain(transaction, "unknown_at_term_end");
+  co_return CommitOutcome::lost;
+}
+
+// The store has rejected the transaction; where an earlier try got no answer, that one may be the reason.
+rt::Task<FencedWriter::CommitOutcome> FencedWriter::settle_rejected(std::uint64_t term,
+                                                                    const FencedTransaction& transaction,
+                                                                    TxnOutcome answer, bool uncertain) {
+  if (uncertain) {
+    const bool applied = co_await was_applied(term, transaction);
+    log_uncertain(transaction, applied ? "stored_by_earlier_try" : "not_stored");
+    if (applied) co_return CommitOutcome::stored;
+  }
+  const bool too_large = answer == TxnOutcome::too_large && ctx_.term == term;
+  co_return too_large ? CommitOutcome::too_large : CommitOutcome::lost;
+}
+
+// Whether a transaction whose answer was lost was applied after all; if so its versions are taken over. That a key is
+// gone proves nothing: a later leader may have removed it, and ended the job in another way.
+rt::Task<bool> FencedWriter::was_applied(std::uint64_t term, const FencedTransaction& transaction) {
+  const bool ours = co_await still_leads(term);
+  if (!ours) co_return false;
+  const auto& operations = transaction.operations;
+  const auto written = std::ranges::find_if(operations, [](const auto& op) { return op.value.has_value(); });
+  const auto& evidence = written == operations.end() ? operations.front() : *written;
+  const ReadResult read = co_await read_until_answered(term, evidence.key);
+  if (ctx_.term != term) co_return false;
+  const bool applied = evidence.value
+                           ? read.outcome == ReadOutcome::found &&
+                                 wire::transaction_id_of(read.item.value) == wire::transaction_id_of(*evidence.value)
+                           : read.outcome == ReadOutcome::absent;
+  if (applied) record_versions(transaction, Revision{read.item.version.value()});
+  co_return applied;
+}
+
+rt::Task<bool> FencedWriter::still_leads(std::uint64_t term) {
+  const ReadResult leader = co_await read_until_answered(term, wire::leader_key);
+  if (ctx_.term != term || leader.outcome != ReadOutcome::found) co_return false;
+  co_return leader.item.version.value() == ctx_.leadership.token().value();
+}
+
+// A read that is repeated until the store answers, or the term is over.
+rt::Task<ReadResult> FencedWriter::read_until_answered(std::uint64_t term, std::string key) {
+  ReadResult read;
+  while (ctx_.term == term) {
+    std::string copy = key;
+    read = co_await store_.get(std::move(copy), request_timeout);
+    if (read.outcome != ReadOutcome::failed) break;
+    co_await ctx_.loop.sleep(read_retry_pause);
+  }
+  co_return read;
+}
+
+void FencedWriter::record_versions(const FencedTransaction& transaction, Revision revision) {
+  for (const auto& op : transaction.operations) {
+    if (op.value) {
+      versions_.record(op.key, KeyVersion{revision.value()});
+    } else {
+      versions_.erase(op.key);
+    }
+  }
+}
+
+// Twice for each uncertain transaction: that its outcome is not known, and what became of it.
+void FencedWriter::log_uncertain(const FencedTransaction& transaction, std::string_view outcome) const {
+  ctx_.log->info("transaction uncertain key={} more_keys={} outcome={}", transaction.operations.front().key,
+                 transaction.operations.size() - 1, outcome);
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/fenced_writer.hpp
@@ -0,0 +1,60 @@
+// Writes the leader's rows in fenced transactions, and finds out what became of those whose answer was lost.
+#pragma once
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "service/cleanup_queue.hpp"
+#include "service/context.hpp"
+#include "service/fenced_transaction.hpp"
+#include "service/format_version_service.hpp"
+#include "service/key_versions.hpp"
+#include "service/leader_election.hpp"
+#include "service/store_client.hpp"
+
+namespace martenwall::service {
+
+// All its coroutines belong to a term and end, without a further write, once `Context::term` has moved on.
+class FencedWriter {
+ public:
+  FencedWriter(Context& ctx, StoreClient& store, KeyVersions& versions, CleanupQueue& cleanup, LeaderElection& election)
+      : ctx_(ctx),
+        store_(store),
+        versions_(versions),
+        cleanup_(cleanup),
+        election_(election),
+        builder_(ctx, versions) {}
+
+  // Forgets the transactions of the last term; called before `run` of the next.
+  void begin_term() { in_flight_ = 0; }
+  // Writes what the scheduler has to write, and cleans up in between, until `term` is over. Steps down where a
+  // transaction's conditions do not hold: another leader, or a lost picture of the keys.
+  rt::Task<void> run(std::uint64_t term);
+
+ private:
+  enum class CommitOutcome { stored, lost, too_large };
+
+  void start_transactions(std::uint64_t term, bool deferrable);
+  void start_cleanup(std::uint64_t term);
+  rt::Task<void> write_transaction(std::uint64_t term, FencedTransaction transaction);
+  void on_stored(const std::vector<RowWrite>& rows);
+  rt::Task<void> on_lost(std::uint64_t term, FencedTransaction transaction);
+  rt::Task<CommitOutcome> commit(std::uint64_t term, const FencedTransaction& transaction);
+  rt::Task<CommitOutcome> settle_rejected(std::uint64_t term, const FencedTransaction& transaction, TxnOutcome answer,
+                                          bool uncertain);
+  rt::Task<bool> still_leads(std::uint64_t term);
+  rt::Task<bool> was_applied(std::uint64_t term, const FencedTransaction& transaction);
+  rt::Task<ReadResult> read_until_answered(std::uint64_t term, std::string key);
+  void record_versions(const FencedTransaction& transaction, Revision revision);
+  void log_uncertain(const FencedTransaction& transaction, std::string_view outcome) const;
+
+  Context& ctx_;
+  StoreClient& store_;
+  KeyVersions& versions_;
+  CleanupQueue& cleanup_;
+  LeaderElection& election_;
+  TransactionBuilder builder_;
+  std::size_t in_flight_ = 0;  // transactions of the current term
+};
+
+}  // namespace martenwall::service
--- a/src/service/format_version_service.cpp
+++ b/src/service/format_version_service.cpp
@@ -34,7 +34,7 @@
     co_await ctx_.loop.sleep(look_every);
   }
   ctx_.version_stated = true;
-  ctx_.log->info("this node runs version {}, level {}", MARTENWALL_VERSION, wire::current_format_version);
+  ctx_.log->info("node version stated version={} format_version={}", MARTENWALL_VERSION, wire::current_format_version);
   while (ctx_.format_version < wire::current_format_version) {
     co_await read();
     if (ctx_.format_version < wire::current_format_version && ctx_.has_valid_lease()) co_await raise();
@@ -57,19 +57,19 @@
   if (r.outcome == ReadOutcome::absent) co_return true;
   const auto row = wire::decode_format_version(r.item.value);
   if (!row) {
-    ctx_.log->error("the level of all nodes cannot be read");
+    ctx_.log->error("format version unreadable key={}", wire::format_version_key);
     co_return false;
   }
   ctx_.v1_row_size = row->v1_row_size;
   if (row->format_version < wire::current_format_version) co_return true;
   ctx_.format_version = row->format_version;
   ctx_.limits.all_nodes_read_any_size();
-  ctx_.log->info("all nodes have reached level {}; values of {} bytes and {} changes a transaction from now on",
-                 row->format_version, ctx_.limits.value_bytes(), ctx_.limits.txn_ops());
+  ctx_.log->info("format version raised version={} value_bytes={} txn_operations={}", row->format_version,
+                 ctx_.limits.value_bytes(), ctx_.limits.txn_ops());
   if (ctx_.scheduler != nullptr) {
     apply_row_size_limits(ctx_);
     ctx_.scheduler->use_range_rows(ctx_.now());
-    ctx_.log->info("{} rows by number are to be divided", ctx_.scheduler->v1_row_count());
+    ctx_.log->info("v1 rows to convert rows={}", ctx_.scheduler->v1_row_count());
     ctx_.notify_pending_work();
   }
   co_return true;
@@ -85,7 +85,7 @@
 rt::Task<void> FormatVersionService::raise() {
   const auto token = ctx_.leadership.token();
   auto left = nodes();
-  const auto stated = co_await store_.list("v/");
+  const auto stated = co_await store_.list(wire::node_format_version_prefix);
   if (!stated) co_return;
   for (const auto& item : stated->items) {
     const auto format_version = wire::count(item.value, "level");
@@ -93,8 +93,10 @@
   }
   if (!left.empty()) {
     std::string missing;
-    for (const auto& n : left) missing += " " + n;
-    if (missing != missing_) ctx_.log->info("level {} waits for:{}", wire::current_format_version, missing);
+    for (const auto& node : left) missing += (missing.empty() ? "" : ",") + node;
+    if (missing != missing_) {
+      ctx_.log->info("format version waits version={} nodes={}", wire::current_format_version, missing);
+    }
     missing_ = missing;
     co_return;
   }
--- /dev/null
+++ b/src/service/leader_inbox.cpp
@@ -0,0 +1,77 @@
+#include "service/leader_inbox.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace martenwall::service {
+
+namespace {
+constexpr Duration watch_hold = seconds(10);
+constexpr Duration watch_retry_pause = seconds(0.3);
+constexpr Duration read_retry_pause = seconds(0.2);
+}  // namespace
+
+rt::Task<void> LeaderInbox::run(std::uint64_t term, Revision after) {
+  while (ctx_.leads(term)) {
+    const auto entries = co_await next_entries(term, after);
+    for (const auto& entry : entries) {
+      if (entry.removed) continue;
+      co_await process(term, entry);
+      if (!ctx_.leads(term)) co_return;
+    }
+  }
+}
+
+// The entries written since `after`, which moves on; none where the store did not answer or the term is over.
+rt::Task<std::vector<wire::StoreItem>> LeaderInbox::next_entries(std::uint64_t term, Revision& after) {
+  auto watch = co_await store_.watch(wire::inbox_prefix, after, watch_hold);
+  if (!ctx_.leads(term)) co_return std::vector<wire::StoreItem>{};
+  switch (watch.outcome) {
+    case StoreClient::WatchOutcome::events:
+      after = std::max(after, watch.page.revision);
+      break;
+    case StoreClient::WatchOutcome::too_old: {
+      auto all = co_await store_.list(wire::inbox_prefix);
+      if (!all || !ctx_.leads(term)) co_return std::vector<wire::StoreItem>{};
+      after = all->revision;
+      co_return std::move(all->items);
+    }
+    case StoreClient::WatchOutcome::failed:
+      co_await ctx_.loop.sleep(watch_retry_pause);
+      break;
+  }
+  co_return std::move(watch.page.items);
+}
+
+rt::Task<void> LeaderInbox::process(std::uint64_t term, wire::StoreItem entry) {
+  ctx_.peers_wrote_at = ctx_.now();
+  versions_.record(entry.key, entry.version);
+  if (wire::is_reach_key(entry.key)) {
+    const auto stranded = wire::decode_reach(entry.value);
+    if (stranded) ctx_.reachability.on_stranded_report(wire::node_of_reach_key(entry.key), *stranded, ctx_.now());
+    co_return;
+  }
+  JobId id = wire::job_of_key(entry.key);
+  const bool cancel = wire::asks_to_cancel(entry.value);
+  co_await process_job_entry(term, std::move(id), cancel);
+}
+
+// Read until the store tells: an entry comes once, and its job was accepted.
+rt::Task<void> LeaderInbox::process_job_entry(std::uint64_t term, JobId id, bool cancel) {
+  while (ctx_.scheduler->find_job(id) == nullptr) {
+    JobRowStore::Read read = co_await job_rows_.read(id);
+    // The scheduler is gone where the term is over.
+    if (!ctx_.leads(term)) co_return;
+    if (read.job) adopter_.adopt(term, std::move(*read.job), read.version);
+    if (read.outcome != ReadOutcome::failed) break;
+    co_await ctx_.loop.sleep(read_retry_pause);
+    if (!ctx_.leads(term)) co_return;
+  }
+  if (cancel) {
+    ctx_.scheduler->cancel(id, ctx_.now());
+    ctx_.notify_pending_work();
+  }
+  cleanup_.add_inbox_entry(id);
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/leader_recovery.cpp
@@ -0,0 +1,167 @@
+#include "service/leader_recovery.hpp"
+
+#include <algorithm>
+#include <string>
+#include <utility>
+
+namespace martenwall::service {
+
+namespace {
+// Seconds of cloud requests: enough to keep the cloud busy through slow answers, and no longer than a boot is worth.
+constexpr double max_scale_out_backlog_s = 4;
+constexpr double min_pending_scale_outs = 4;
+}  // namespace
+
+rt::Task<Result<Revision>> LeaderRecovery::run(std::uint64_t term, Duration previous_grace) {
+  const Time began = ctx_.now();
+  // First: it tells where rows are, and only the leader raises it.
+  const bool version_known = co_await format_versions_.read();
+  if (!version_known || ctx_.term != term) co_return interrupted(term, "the format version");
+  // A first configuration is made only while the one leads whom its maker saw leading: none can come from here on
+  // without this node's word.
+  const bool configured = co_await configuration_.read(true);
+  if (!configured || ctx_.term != term) co_return interrupted(term, "the configuration");
+  auto read = co_await read_rows(term);
+  if (!read) co_return read.error();
+  const Rows rows = std::move(read).value();
+  auto log = ctx_.log;
+  auto scheduler = std::make_unique<Scheduler>(scheduler_options(previous_grace, began),
+                                               [log](const std::string& line) { log->info(line); });
+  const bool jobs_loaded = co_await load_jobs(term, *scheduler, rows.jobs);
+  if (!jobs_loaded) co_return interrupted(term, "the jobs");
+  // No suspension from here on: `term` still leads when the scheduler is installed.
+  for (const auto& item : rows.machines) {
+    for (const auto& record : wire::decode_machines(item.key, item.value)) scheduler->load_machine(record, ctx_.now());
+  }
+  const auto tasks = decode_task_rows(rows);
+  if (!tasks) co_return tasks.error();
+  for (const auto& row : *tasks) scheduler->load_tasks(row, ctx_.now());
+  install(std::move(scheduler), take_inbox(rows.inbox));
+  ctx_.log->info("recovery finished jobs={} machines={} seconds={} format_version={} v1_rows={}", rows.jobs.size(),
+                 rows.machines.size(), to_seconds(ctx_.now() - began), ctx_.format_version,
+                 ctx_.format_version >= wire::current_format_version ? ctx_.scheduler->v1_row_count() : 0);
+  co_return rows.inbox_revision;
+}
+
+Error LeaderRecovery::interrupted(std::uint64_t term, const char* what) const {
+  if (ctx_.term != term) return {ErrorCode::failed_precondition, "the term ended during recovery"};
+  return {ErrorCode::unavailable, std::string(what) + " could not be read"};
+}
+
+rt::Task<Result<LeaderRecovery::Rows>> LeaderRecovery::read_rows(std::uint64_t term) {
+  struct Part {
+    const char* prefix;
+    std::vector<wire::StoreItem> Rows::*into;
+  };
+  const bool ranges = ctx_.format_version >= wire::current_format_version;
+  std::vector<Part> parts{{wire::job_prefix, &Rows::jobs}};
+  // Below that version there are none, and every request of a failover counts.
+  if (ranges) parts.push_back({wire::dependent_job_prefix, &Rows::jobs});
+  parts.push_back({wire::machines_prefix, &Rows::machines});
+  parts.push_back({wire::v1_tasks_prefix, &Rows::v1_tasks});
+  if (ranges) parts.push_back({wire::tasks_prefix, &Rows::task_ranges});
+  parts.push_back({wire::inbox_prefix, &Rows::inbox});
+  Rows rows;
+  for (const auto& part : parts) {
+    auto page = co_await store_.list(part.prefix);
+    if (!page || ctx_.term != term) co_return interrupted(term, part.prefix);
+    rows.inbox_revision = page->revision;  // the inbox is the last part
+    for (auto& item : page->items) {
+      versions_.record(item.key, item.version);
+      (rows.*part.into).push_back(std::move(item));
+    }
+  }
+  co_return std::move(rows);
+}
+
+Scheduler::Options LeaderRecovery::scheduler_options(Duration previous_grace, Time acquired) const {
+  Scheduler::Options options;
+  options.policy = ctx_.policy;
+  options.terms = ctx_.settings.workers;
+  options.teams = ctx_.configuration.teams;
+  options.limits_change = ctx_.configuration.version > ConfigurationVersion{0};
+  for (const auto& objective : ctx_.settings.objectives) {
+    if (objective.kind == "wait") options.aims.by_class[objective.job_class].push_back(objective.within_s);
+    if (objective.kind == "deadline") {
+      options.aims.deadlines_by_class[objective.job_class].push_back(objective.times);
+    }
+    if (objective.kind == "guarantee") options.aims.guarantee_s = objective.within_s;
+  }
+  options.token = ctx_.leadership.token();
+  // The old key is gone, so its holder's last renewal is over; it may have gone on answering
+  // workers for its grace from then.
+  options.old_leader_until = previous_grace.count() > 0 ? acquired + previous_grace + ctx_.policy.margin : acquired;
+  options.range_rows = ctx_.format_version >= wire::current_format_version;
+  options.v1_row_size = ctx_.v1_row_size;
+  options.log_tasks = ctx_.log->should_log(spdlog::level::debug);
+  options.max_pending_scale_outs =
+      static_cast<std::size_t>(std::max(min_pending_scale_outs, ctx_.settings.cloud_rps * max_scale_out_backlog_s));
+  return options;
+}
+
+// False where the term ended while pieces of a job's row were read.
+rt::Task<bool> LeaderRecovery::load_jobs(std::uint64_t term, Scheduler& scheduler,
+                                         const std::vector<wire::StoreItem>& items) {
+  for (const auto& item : items) {
+    JobId id = wire::job_of_key(item.key);
+    auto job = co_await job_rows_.decode(std::move(id), item.value);
+    if (ctx_.term != term) co_return false;
+    if (job) {
+      job->dependent = item.key.starts_with(wire::dependent_job_prefix);
+      scheduler.load_job(std::move(*job), ctx_.now());
+    } else {
+      ctx_.log->error("job row unreadable, left as it is key={}", item.key);
+    }
+  }
+  co_return true;
+}
+
+Result<std::vector<TaskRow>> LeaderRecovery::decode_task_rows(const Rows& rows) const {
+  std::vector<TaskRow> tasks;
+  const auto unreadable = [](const wire::StoreItem& item) {
+    return Error{ErrorCode::unreadable, "row " + item.key + " cannot be read"};
+  };
+  for (const auto& item : rows.task_ranges) {
+    auto row = wire::decode_tasks(item.key, item.value);
+    if (!row) return unreadable(item);
+    tasks.push_back(std::move(*row));
+  }
+  // Of overlapping ranges the one that begins last counts: it comes first.
+  std::ranges::stable_sort(tasks, [](const TaskRow& left, const TaskRow& right) {
+    return left.job != right.job ? left.job < right.job : left.first > right.first;
+  });
+  for (const auto& item : rows.v1_tasks) {
+    auto row = wire::decode_v1_tasks(item.key, item.value, ctx_.v1_row_size);
+    if (!row) return unreadable(item);
+    tasks.push_back(std::move(*row));
+  }
+  return tasks;
+}
+
+// The jobs that are asked to be cancelled. Every entry is processed by being read here: the jobs' own rows were read
+// before.
+std::vector<JobId> LeaderRecovery::take_inbox(const std::vector<wire::StoreItem>& entries) {
+  std::vector<JobId> cancelled;
+  for (const auto& entry : entries) {
+    if (wire::is_reach_key(entry.key)) continue;  // meant for an earlier leader
+    const JobId id = wire::job_of_key(entry.key);
+    cleanup_.add_inbox_entry(id);
+    if (wire::asks_to_cancel(entry.value)) cancelled.push_back(id);
+  }
+  return cancelled;
+}
+
+void LeaderRecovery::install(std::unique_ptr<Scheduler> scheduler, const std::vector<JobId>& cancelled) {
+  ctx_.scheduler = std::move(scheduler);
+  // It may have changed while the rows were read.
+  if (ctx_.validity.follows()) ctx_.scheduler->configure(ctx_.configuration.teams, ctx_.policy);
+  apply_row_size_limits(ctx_);
+  ctx_.scheduler->finish_load(ctx_.now());
+  for (const auto& id : cancelled) ctx_.scheduler->cancel(id, ctx_.now());
+  ctx_.scheduler->set_types(ctx_.types);
+  ctx_.leadership.loaded(ctx_.now());
+  ctx_.reachability.on_leadership_began(ctx_.now());
+  ctx_.metrics.count_takeover();
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/leader_recovery.hpp
@@ -0,0 +1,58 @@
+// Recovery after a failover: reads every row of the store and builds the new leader's scheduler from them.
+#pragma once
+#include <memory>
+#include <vector>
+
+#include "core/result.hpp"
+#include "service/cleanup_queue.hpp"
+#include "service/configuration_service.hpp"
+#include "service/context.hpp"
+#include "service/format_version_service.hpp"
+#include "service/job_row_store.hpp"
+#include "service/key_versions.hpp"
+#include "service/store_client.hpp"
+
+namespace martenwall::service {
+
+class LeaderRecovery {
+ public:
+  LeaderRecovery(Context& ctx, StoreClient& store, JobRowStore& job_rows, FormatVersionService& format_versions,
+                 ConfigurationService& configuration, KeyVersions& versions, CleanupQueue& cleanup)
+      : ctx_(ctx),
+        store_(store),
+        job_rows_(job_rows),
+        format_versions_(format_versions),
+        configuration_(configuration),
+        versions_(versions),
+        cleanup_(cleanup) {}
+
+  // Run once at the beginning of `term`, while the lease is being renewed. With a value, `Context::scheduler` is there
+  // and the revision is the one after which the inbox is to be watched. Errors: `unavailable` (the store did not
+  // answer), `unreadable` (a row's form is unknown; not knowing what may be on a machine, this node must not place
+  // anything), `failed_precondition` (the term ended meanwhile). `previous_grace`: how long the previous leader may go
+  // on answering workers after its lease expired.
+  rt::Task<Result<Revision>> run(std::uint64_t term, Duration previous_grace);
+
+ private:
+  struct Rows {
+    std::vector<wire::StoreItem> jobs, machines, task_ranges, v1_tasks, inbox;
+    Revision inbox_revision;
+  };
+  [[nodiscard]] Error interrupted(std::uint64_t term, const char* what) const;
+  rt::Task<Result<Rows>> read_rows(std::uint64_t term);
+  [[nodiscard]] Scheduler::Options scheduler_options(Duration previous_grace, Time acquired) const;
+  rt::Task<bool> load_jobs(std::uint64_t term, Scheduler& scheduler, const std::vector<wire::StoreItem>& items);
+  [[nodiscard]] Result<std::vector<TaskRow>> decode_task_rows(const Rows& rows) const;
+  [[nodiscard]] std::vector<JobId> take_inbox(const std::vector<wire::StoreItem>& entries);
+  void install(std::unique_ptr<Scheduler> scheduler, const std::vector<JobId>& cancelled);
+
+  Context& ctx_;
+  StoreClient& store_;
+  JobRowStore& job_rows_;
+  FormatVersionService& format_versions_;
+  ConfigurationService& configuration_;
+  KeyVersions& versions_;
+  CleanupQueue& cleanup_;
+};
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/leader_service.hpp
@@ -0,0 +1,52 @@
+// Runs this node's leaderships one after the other: election, recovery, then the leader's tasks until the term ends.
+#pragma once
+#include <optional>
+
+#include "service/cleanup_queue.hpp"
+#include "service/configuration_service.hpp"
+#include "service/context.hpp"
+#include "service/dependency_lookups.hpp"
+#include "service/fenced_writer.hpp"
+#include "service/format_version_service.hpp"
+#include "service/job_adopter.hpp"
+#include "service/job_row_store.hpp"
+#include "service/key_versions.hpp"
+#include "service/leader_election.hpp"
+#include "service/leader_inbox.hpp"
+#include "service/leader_recovery.hpp"
+#include "service/step_down_reason.hpp"
+#include "service/store_client.hpp"
+
+namespace martenwall::service {
+
+class LeaderService {
+ public:
+  LeaderService(Context& ctx, StoreClient& store, JobRowStore& job_rows, FormatVersionService& format_versions,
+                ConfigurationService& configuration);
+
+  // Never returns; started once by the node.
+  rt::Task<void> run();
+  // Ends the leadership at once; without effect on a follower. See LeaderElection.
+  void step_down(StepDownReason reason) { election_.step_down(reason); }
+  // See JobAdopter.
+  void adopt_job(std::uint64_t term, Job job, KeyVersion version);
+  // Waits until the job's end is stored, and where it is cancelled the ends of all that depend on it. The end as far as
+  // it is known after `timeout`; nothing where the term ended meanwhile.
+  rt::Task<std::optional<JobStatus>> wait_final(JobId id, Duration timeout);
+
+ private:
+  rt::Task<void> serve_term(std::uint64_t term, Duration previous_grace);
+  void forget_last_term();
+
+  Context& ctx_;
+  KeyVersions versions_;
+  CleanupQueue cleanup_;
+  JobAdopter adopter_;
+  LeaderElection election_;
+  LeaderRecovery recovery_;
+  LeaderInbox inbox_;
+  DependencyLookups lookups_;
+  FencedWriter writer_;
+};
+
+}  // namespace martenwall::service
--- a/src/service/node.cpp
+++ b/src/service/node.cpp
@@ -44,13 +44,13 @@
       job_rows_(ctx_, store_),
       format_versions_(ctx_, store_),
       configuration_(ctx_, store_),
-      leader_store_(ctx_, store_, job_rows_, format_versions_, configuration_),
-      workers_(ctx_, leader_store_),
+      leader_service_(ctx_, store_, job_rows_, format_versions_, configuration_),
+      workers_(ctx_, leader_service_),
       cloud_(ctx_, store_),
-      users_(ctx_, store_, leader_store_, job_rows_),
+      users_(ctx_, store_, leader_service_, job_rows_),
       peers_(ctx_, [this](wire::PeerRequest r) { return route_peer(std::move(r)); }),
       changes_(ctx_, store_, peers_, configuration_),
-      reach_(ctx_, store_, leader_store_, peers_),
+      reach_(ctx_, store_, leader_service_, peers_),
       relay_(ctx_, peers_, workers_),
       server_(loop, *rt::Endpoint::parse(ctx_.settings.listen), bounds_of(ctx_.settings),
               [this](rt::HttpMessage m) { return route(std::move(m)); }),
@@ -69,7 +69,7 @@
   rt::spawn(format_versions_.run());
   rt::spawn(configuration_.run());
   rt::spawn(changes_.run());
-  rt::spawn(leader_store_.run());
+  rt::spawn(leader_service_.run());
   rt::spawn(workers_.run());
   rt::spawn(workers_.send_loop());
   rt::spawn(cloud_.run_types());
--- a/src/service/node.hpp
+++ b/src/service/node.hpp
@@ -9,7 +9,7 @@
 #include "service/format_version_service.hpp"
 #include "service/heartbeat_relay.hpp"
 #include "service/job_row_store.hpp"
-#include "service/leader_store.hpp"
+#include "service/leader_service.hpp"
 #include "service/metrics_service.hpp"
 #include "service/peer_service.hpp"
 #include "service/reachability_service.hpp"
@@ -41,7 +41,7 @@
   JobRowStore job_rows_;
   FormatVersionService format_versions_;
   ConfigurationService configuration_;
-  LeaderStore leader_store_;
+  LeaderService leader_service_;
   WorkerService workers_;
   CloudService cloud_;
   UserService users_;
--- a/src/service/reachability_service.cpp
+++ b/src/service/reachability_service.cpp
@@ -79,7 +79,7 @@
     ctx_.log->info("{} workers report here, {} are stranded at another node: {}", reporting,
                    ctx_.reachability.reported_stranded(ctx_.now()), name_of(ctx_.reachability.state()));
   }
-  if (give_up) leader_store_.step_down("workers reach another node, not this one");
+  if (give_up) leader_service_.step_down(StepDownReason::workers_unreachable);
 }
 
 }  // namespace martenwall::service
--- a/src/service/reachability_service.hpp
+++ b/src/service/reachability_service.hpp
@@ -1,7 +1,7 @@
 // Which nodes the workers reach, exchanged between the nodes; a leader that they do not reach gives way.
 #pragma once
 #include "service/context.hpp"
-#include "service/leader_store.hpp"
+#include "service/leader_service.hpp"
 #include "service/peer_service.hpp"
 #include "service/store_client.hpp"
 
@@ -9,8 +9,8 @@
 
 class ReachabilityService {
  public:
-  ReachabilityService(Context& ctx, StoreClient& state, LeaderStore& store, PeerService& peers)
-      : ctx_(ctx), store_(state), leader_store_(store), peers_(peers) {}
+  ReachabilityService(Context& ctx, StoreClient& state, LeaderService& store, PeerService& peers)
+      : ctx_(ctx), store_(state), leader_service_(store), peers_(peers) {}
   rt::Task<void> run();
   wire::PeerReply on_stranded_report(const wire::PeerRequest& request);  // told by another node
 
@@ -21,7 +21,7 @@
 
   Context& ctx_;
   StoreClient& store_;
-  LeaderStore& leader_store_;
+  LeaderService& leader_service_;
   PeerService& peers_;
   Time next_note_{};
   bool stranded_logged_ = false;  // that workers are stranded here, for the log
--- a/src/service/store_client.cpp
+++ b/src/service/store_client.cpp
@@ -1,9 +1,26 @@
 #include "service/store_client.hpp"
 
+#include <algorithm>
+#include <utility>
+
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t max_response = 16 * 1024 * 1024;
+constexpr std::size_t max_response_bytes = 16 * 1024 * 1024;  // a page of the largest rows is below
+constexpr std::size_t max_connections = 24;
+constexpr std::size_t max_idle_connections = 12;
+constexpr int status_ok = 200;
+constexpr int status_bad_request = 400;
+constexpr int status_not_found = 404;
+constexpr int status_conflict = 409;
+constexpr int status_gone = 410;  // the store has forgotten the changes that were asked for
+constexpr int status_too_many_requests = 429;
+constexpr int status_unavailable = 503;
+constexpr Duration admission_timeout = seconds(2);
+constexpr Duration page_timeout = seconds(2);
+constexpr Duration lease_timeout = seconds(1);
+constexpr Duration watch_answer_allowance = seconds(1.5);  // beyond the time that the store holds the request
+constexpr Duration min_request_timeout{10000};             // us; where waiting for admission took all the time
 // Shares of the state service's rates. Mostly the leader does all the work; where others have to write for
 // their users, it leaves them room.
 constexpr double leader_share = 0.86;
@@ -13,14 +30,26 @@
 constexpr double leaderless_share = 0.3;        // there is none
 constexpr Duration sharing_time = seconds(10);  // after the last sign that others write
 constexpr double poll_reserve = 0.4;            // of this node's share of requests: polls leave it for submissions
+constexpr double unused_write_fill = 0.3;       // of the bucket: above, deferrable writes may go
+
+bool has_status(const rt::HttpResult& answer, int status) {
+  return answer.outcome == rt::Outcome::answered && answer.status == status;
+}
+
+// The parsed body of an answer with status 200; nothing for any other answer, none, or a body of another form.
+template <class T>
+std::optional<T> parse_if_ok(const rt::HttpResult& answer, std::optional<T> (*parse)(const std::string& body)) {
+  if (!answer.ok()) return std::nullopt;
+  return parse(answer.body);
+}
 }  // namespace
 
 StoreClient::StoreClient(Context& ctx)
     : ctx_(ctx),
-      http_(ctx.loop, 24, max_response, 12),
+      http_(ctx.loop, max_connections, max_response_bytes, max_idle_connections),
       requests_(ctx.limits.rps() * follower_share),
       writes_(ctx.limits.write_rps() * follower_share),
-      line_moved_(ctx.loop) {}
+      queue_moved_(ctx.loop) {}
 
 double StoreClient::share_now() const {
   if (ctx_.scheduler != nullptr) {
@@ -30,8 +59,8 @@
   return ctx_.now() - ctx_.leader_link_failed_at < sharing_time ? lonely_follower_share : follower_share;
 }
 
-rt::Task<bool> StoreClient::admit(double writes, Duration longest, double keep) {
-  const Time until = ctx_.now() + longest;
+rt::Task<bool> StoreClient::admit(double writes, Duration timeout, double reserve) {
+  const Time until = ctx_.now() + timeout;
   for (;;) {
     const double share = share_now();
     requests_.set(ctx_.limits.rps() * share);
@@ -39,7 +68,7 @@
     Duration wait = writes > 0 ? writes_.take(writes, 0, ctx_.now()) : Duration{0};
     if (wait.count() == 0) {
       writes = 0;
-      wait = requests_.take(1, keep, ctx_.now());
+      wait = requests_.take(1, reserve, ctx_.now());
     }
     if (wait.count() == 0) co_return true;
     if (ctx_.now() + wait > until) co_return false;
@@ -49,31 +78,32 @@
 
 // Of transactions that each took what there was whenever there was some, one of many changes would never find enough
 // at once, as long as small ones come (rows waited up to 53 s in inc-d2ba).
-rt::Task<bool> StoreClient::admit_in_order(double writes, Duration longest) {
-  const Time until = ctx_.now() + longest;
+rt::Task<bool> StoreClient::admit_in_order(double writes, Duration timeout) {
+  const Time until = ctx_.now() + timeout;
   const auto ticket = next_ticket_++;
-  line_.push_back(ticket);
-  while (line_.front() != ticket && ctx_.now() < until) co_await line_moved_.wait(until);
+  queue_.push_back(ticket);
+  while (queue_.front() != ticket && ctx_.now() < until) co_await queue_moved_.wait(until);
   bool admitted = false;
-  if (line_.front() == ticket) {
+  if (queue_.front() == ticket) {
     const Duration left = std::max(Duration{0}, until - ctx_.now());
     admitted = co_await admit(writes, left);
   }
-  std::erase(line_, ticket);
-  line_moved_.notify();
+  std::erase(queue_, ticket);
+  queue_moved_.notify();
   co_return admitted;
 }
 
 rt::Task<rt::HttpResult> StoreClient::send(std::string method, std::string target, std::string body, Duration timeout) {
-  rt::HttpResult r =
+  rt::HttpResult answer =
       co_await http_.request(ctx_.settings.state, std::move(method), std::move(target), std::move(body), timeout);
-  if (r.outcome == rt::Outcome::answered && r.status != 503) ctx_.store_answered_at = ctx_.now();
-  if (r.outcome == rt::Outcome::answered && r.status == 429 && ctx_.limits.refused_rate(ctx_.now())) {
-    ctx_.log->info(
-        "the state service refuses requests beyond lower rates: {} requests and {} changes a second from now on",
-        ctx_.limits.rps(), ctx_.limits.write_rps());
+  if (answer.outcome == rt::Outcome::answered && answer.status != status_unavailable) {
+    ctx_.store_answered_at = ctx_.now();
+  }
+  if (has_status(answer, status_too_many_requests) && ctx_.limits.refused_rate(ctx_.now())) {
+    ctx_.log->info("store rate limits lowered requests_per_second={} writes_per_second={}", ctx_.limits.rps(),
+                   ctx_.limits.write_rps());
   }
-  co_return r;
+  co_return answer;
 }
 
 rt::Task<ReadResult> StoreClient::get(std::string key, Duration timeout) {
@@ -88,26 +118,18 @@
 }
 
 rt::Task<ReadResult> StoreClient::read(std::string key, Duration timeout) {
-  ReadResult out;
-  const rt::HttpResult r = co_await send("GET", "/store/" + key, "", timeout);
-  if (r.outcome != rt::Outcome::answered) co_return out;
-  if (r.status == 404) out.outcome = ReadOutcome::absent;
-  if (r.status != 200) co_return out;
-  auto item = wire::parse_item(r.body);
-  if (!item) co_return out;
-  out.outcome = ReadOutcome::found;
-  out.item = std::move(*item);
-  co_return out;
+  const rt::HttpResult answer = co_await send("GET", wire::item_target(key), "", timeout);
+  if (has_status(answer, status_not_found)) co_return ReadResult{ReadOutcome::absent, {}};
+  auto item = parse_if_ok(answer, wire::parse_item);
+  if (!item) co_return ReadResult{};
+  co_return ReadResult{ReadOutcome::found, std::move(*item)};
 }
 
 rt::Task<std::optional<wire::StorePage>> StoreClient::page(std::string prefix, std::string after) {
-  const bool admitted = co_await admit(0, seconds(2));
+  const bool admitted = co_await admit(0, admission_timeout);
   if (!admitted) co_return std::nullopt;
-  std::string target = "/store?prefix=" + prefix + "&page=1000";
-  if (!after.empty()) target += "&after=" + after;
-  const rt::HttpResult r = co_await send("GET", std::move(target), "", seconds(2));
-  if (!r.ok()) co_return std::nullopt;
-  co_return wire::parse_page(r.body);
+  const rt::HttpResult answer = co_await send("GET", wire::page_target(prefix, after), "", page_timeout);
+  co_return parse_if_ok(answer, wire::parse_page);
 }
 
 rt::Task<std::optional<wire::StorePage>> StoreClient::list(std::string prefix) {
@@ -127,89 +149,85 @@
   }
 }
 
-rt::Task<TxnResult> StoreClient::txn(std::vector<wire::Condition> when, std::vector<wire::StoreOp> then,
-                                     Duration timeout, Queueing turn) {
-  TxnResult out;
-  const auto writes = static_cast<double>(then.size());
+rt::Task<TxnResult> StoreClient::txn(std::vector<wire::Condition> conditions, std::vector<wire::StoreOp> operations,
+                                     Duration timeout, Queueing queueing) {
+  const auto writes = static_cast<double>(operations.size());
   const bool admitted =
-      turn == Queueing::fifo ? co_await admit_in_order(writes, timeout) : co_await admit(writes, timeout);
-  if (!admitted) co_return out;
-  std::string body = wire::encode_txn(when, then);
+      queueing == Queueing::fifo ? co_await admit_in_order(writes, timeout) : co_await admit(writes, timeout);
+  if (!admitted) co_return TxnResult{};
+  std::string body = wire::encode_txn(conditions, operations);
   const auto size = body.size();
-  const rt::HttpResult r = co_await send("POST", "/multi", std::move(body), timeout);
-  if (r.outcome == rt::Outcome::unknown) out.outcome = TxnOutcome::unknown;
-  if (r.outcome != rt::Outcome::answered) co_return out;
-  if (r.status == 409) out.outcome = TxnOutcome::conflict;
-  if (r.status == 400) {
-    const bool lease = r.body.find("lease") != std::string::npos;
-    out.outcome = lease ? TxnOutcome::no_lease : TxnOutcome::too_large;
-    ctx_.log->info("the state service refuses a transaction of {} changes and {} bytes: {}", writes, size, r.body);
-    if (!lease && ctx_.limits.refused_size()) {
-      ctx_.log->info("its limits are taken to be lower: values of {} bytes, {} changes a transaction, {} a second",
-                     ctx_.limits.value_bytes(), ctx_.limits.txn_ops(), ctx_.limits.write_rps());
-    }
+  const rt::HttpResult answer = co_await send("POST", wire::transaction_target, std::move(body), timeout);
+  if (answer.outcome == rt::Outcome::unknown) co_return TxnResult{TxnOutcome::unknown, {}};
+  if (has_status(answer, status_conflict)) co_return TxnResult{TxnOutcome::conflict, {}};
+  if (has_status(answer, status_bad_request)) {
+    const TxnOutcome outcome = on_malformed(answer.body, operations.size(), size);
+    co_return TxnResult{outcome, {}};
+  }
+  if (!has_status(answer, status_ok)) co_return TxnResult{};
+  co_return TxnResult{TxnOutcome::committed, wire::parse_revision(answer.body).value_or(Revision{})};
+}
+
+// The store calls malformed what names a lease that has ended, and what is beyond its limits.
+TxnOutcome StoreClient::on_malformed(const std::string& message, std::size_t operations, std::size_t bytes) {
+  ctx_.log->info("transaction refused operations={} bytes={} answer={}", operations, bytes, message);
+  if (message.find("lease") != std::string::npos) return TxnOutcome::no_lease;
+  if (ctx_.limits.refused_size()) {
+    ctx_.log->info("store size limits lowered value_bytes={} txn_operations={} writes_per_second={}",
+                   ctx_.limits.value_bytes(), ctx_.limits.txn_ops(), ctx_.limits.write_rps());
   }
-  if (r.status != 200) co_return out;
-  out.outcome = TxnOutcome::committed;
-  out.revision = wire::parse_revision(r.body).value_or(Revision{});
-  co_return out;
+  return TxnOutcome::too_large;
 }
 
 rt::Task<std::optional<std::set<std::string>>> StoreClient::find_existing(std::vector<std::string> keys,
                                                                           Duration timeout) {
   const Time until = ctx_.now() + timeout;
-  const double keep = ctx_.limits.rps() * share_now() * poll_reserve;
-  const bool admitted = co_await admit(0, timeout, keep);
+  const double reserve = ctx_.limits.rps() * share_now() * poll_reserve;
+  const bool admitted = co_await admit(0, timeout, reserve);
   if (!admitted) co_return std::nullopt;
-  std::vector<wire::Condition> when;
-  when.reserve(keys.size());
-  for (auto& key : keys) when.push_back({std::move(key), KeyVersion{0}});
-  std::string body = wire::encode_txn(when, {});
-  const Duration left = std::max(Duration{10000}, until - ctx_.now());
-  const rt::HttpResult r = co_await send("POST", "/multi", std::move(body), left);
-  std::set<std::string> out;
-  if (r.ok()) co_return out;
+  std::vector<wire::Condition> conditions;
+  conditions.reserve(keys.size());
+  for (auto& key : keys) conditions.push_back({std::move(key), KeyVersion{0}});
+  std::string body = wire::encode_txn(conditions, {});
+  const Duration left = std::max(min_request_timeout, until - ctx_.now());
+  const rt::HttpResult answer = co_await send("POST", wire::transaction_target, std::move(body), left);
+  std::set<std::string> existing;
+  if (answer.ok()) co_return existing;
   // More conditions than it takes now.
-  if (r.outcome == rt::Outcome::answered && r.status == 400) (void)ctx_.limits.refused_size();
-  if (r.outcome != rt::Outcome::answered || r.status != 409) co_return std::nullopt;
-  for (auto& key : wire::parse_failed(r.body)) out.insert(std::move(key));
-  co_return out;
+  if (has_status(answer, status_bad_request)) (void)ctx_.limits.refused_size();
+  if (!has_status(answer, status_conflict)) co_return std::nullopt;
+  for (auto& key : wire::parse_failed(answer.body)) existing.insert(std::move(key));
+  co_return existing;
 }
 
-bool StoreClient::has_unused_write_rate() { return writes_.fill_level(ctx_.now()) > 0.3; }
+bool StoreClient::has_unused_write_rate() { return writes_.fill_level(ctx_.now()) > unused_write_fill; }
 
 rt::Task<std::optional<LeaseId>> StoreClient::create_lease(Duration ttl) {
-  const rt::HttpResult r = co_await send("POST", "/leases", wire::encode_lease(ttl), seconds(1));
-  if (!r.ok()) co_return std::nullopt;
-  co_return wire::parse_lease(r.body);
+  const rt::HttpResult answer =
+      co_await send("POST", wire::create_lease_target, wire::encode_lease(ttl), lease_timeout);
+  co_return parse_if_ok(answer, wire::parse_lease);
 }
 
 rt::Task<StoreClient::LeaseRenewal> StoreClient::renew_lease(LeaseId lease, Duration timeout) {
   requests_.take(1, 0, ctx_.now());
-  const rt::HttpResult r = co_await send("POST", "/leases/" + std::to_string(lease.value()) + "/touch", "{}", timeout);
-  if (r.ok()) co_return LeaseRenewal::renewed;
-  co_return r.outcome == rt::Outcome::answered&& r.status == 404 ? LeaseRenewal::ended : LeaseRenewal::failed;
+  const rt::HttpResult answer = co_await send("POST", wire::renew_lease_target(lease), "{}", timeout);
+  if (answer.ok()) co_return LeaseRenewal::renewed;
+  co_return has_status(answer, status_not_found) ? LeaseRenewal::ended : LeaseRenewal::failed;
 }
 
 rt::Task<void> StoreClient::end_lease(LeaseId lease) {
-  co_await send("DELETE", "/leases/" + std::to_string(lease.value()), "", seconds(1));
+  co_await send("DELETE", wire::lease_target(lease), "", lease_timeout);
 }
 
 rt::Task<StoreClient::WatchResult> StoreClient::watch(std::string prefix, Revision after, Duration hold) {
-  WatchResult out;
-  const bool admitted = co_await admit(0, seconds(2));
-  if (!admitted) co_return out;
-  std::string target = "/watch?prefix=" + prefix + "&after=" + std::to_string(after.value()) +
-                       "&holdMs=" + std::to_string(hold.count() / 1000);
-  const rt::HttpResult r = co_await send("GET", std::move(target), "", hold + seconds(1.5));
-  if (r.outcome != rt::Outcome::answered) co_return out;
-  if (r.status == 410) out.outcome = WatchOutcome::too_old;
-  if (r.status != 200) co_return out;
-  auto page = wire::parse_events(r.body);
-  if (!page) co_return out;
-  out.outcome = WatchOutcome::events;
-  out.page = std::move(*page);
-  co_return out;
+  const bool admitted = co_await admit(0, admission_timeout);
+  if (!admitted) co_return WatchResult{};
+  const rt::HttpResult answer =
+      co_await send("GET", wire::watch_target(prefix, after, hold), "", hold + watch_answer_allowance);
+  if (has_status(answer, status_gone)) co_return WatchResult{WatchOutcome::too_old, {}};
+  auto page = parse_if_ok(answer, wire::parse_events);
+  if (!page) co_return WatchResult{};
+  co_return WatchResult{WatchOutcome::events, std::move(*page)};
 }
 
 }  // namespace martenwall::service
--- a/src/service/store_client.hpp
+++ b/src/service/store_client.hpp
@@ -1,4 +1,4 @@
-// Typed access to the state service, within this node's share of its rates.
+// Typed access to the store (the state service), within this node's share of its rates.
 #pragma once
 #include <deque>
 #include <optional>
@@ -12,64 +12,80 @@
 
 namespace martenwall::service {
 
+// `absent` is the store's own word; `failed`: no answer, or none that can be read.
 enum class ReadOutcome { found, absent, failed };
 struct ReadResult {
   ReadOutcome outcome = ReadOutcome::failed;
-  wire::StoreItem item;
+  wire::StoreItem item;  // where it was found
 };
 
-// `too_large`: malformed to the state service, which is what it calls values and transactions beyond its limits.
-enum class TxnOutcome { committed, conflict, no_lease, too_large, refused /* not executed */, unknown };
+// `conflict`: a condition does not hold. `no_lease`: the lease that an operation names has ended. `too_large`:
+// malformed to the store, which is what it calls values and transactions beyond its limits. `refused`: not executed,
+// and never will be. `unknown`: no answer; it may have been executed, or may be later.
+enum class TxnOutcome { committed, conflict, no_lease, too_large, refused, unknown };
 struct TxnResult {
   TxnOutcome outcome = TxnOutcome::refused;
-  Revision revision;
+  Revision revision;  // of what was committed: the version of every key that was written
 };
 
+// Every request of this node to the store goes through the one client. Where nothing else is said, a request waits for
+// this node's share of the store's rates first, at most for its timeout, and counts as failed or refused where the
+// share is overdrawn for longer. Timeouts are for the answer. Nothing is retried here.
 class StoreClient {
  public:
   explicit StoreClient(Context& ctx);
   rt::Task<ReadResult> get(std::string key, Duration timeout);
-  // Goes before all that waits for this node's share; for the few reads that decisions wait for.
+  // Does not wait for the share; for the few reads that decisions wait for.
   rt::Task<ReadResult> get_unthrottled(std::string key, Duration timeout);
-  rt::Task<std::optional<wire::StorePage>> list(std::string prefix);  // all pages
+  // All items whose keys begin with `prefix`, page by page; nothing where a page could not be read. The revision is the
+  // first page's: a watch from there on misses nothing.
+  rt::Task<std::optional<wire::StorePage>> list(std::string prefix);
+  // One page of them, after the key `after`; nothing where it could not be read.
   rt::Task<std::optional<wire::StorePage>> page(std::string prefix, std::string after);
-  // Users' submissions and the like go before the leader's rows, which wait in line.
+  // Users' submissions and the like go first; the leader's rows wait for their turn behind each other.
   enum class Queueing { first, fifo };
-  rt::Task<TxnResult> txn(std::vector<wire::Condition> when, std::vector<wire::StoreOp> then, Duration timeout,
-                          Queueing turn = Queueing::first);
-  // Which of the keys exist, in one request: a transaction that only compares.
+  // A compare-and-swap: all operations, where all conditions hold.
+  rt::Task<TxnResult> txn(std::vector<wire::Condition> conditions, std::vector<wire::StoreOp> operations,
+                          Duration timeout, Queueing queueing = Queueing::first);
+  // Which of the keys exist, in one request: a transaction that only compares. Nothing where it was not answered.
   rt::Task<std::optional<std::set<std::string>>> find_existing(std::vector<std::string> keys, Duration timeout);
-  // A good part of this node's share of changes is unused at the moment.
+  // Whether a good part of this node's share of writes is unused at the moment.
   [[nodiscard]] bool has_unused_write_rate();
-  [[nodiscard]] double requests_used() { return 1 - requests_.fill_level(ctx_.now()); }  // of this node's share, 0 to 1
+  // Of this node's share of requests, 0 to 1.
+  [[nodiscard]] double requests_used() { return 1 - requests_.fill_level(ctx_.now()); }
+  // These three do not wait for the share. A lease that is not renewed for `ttl` ends, and its keys with it.
   rt::Task<std::optional<LeaseId>> create_lease(Duration ttl);
-  enum class LeaseRenewal { renewed, ended, failed };
+  enum class LeaseRenewal { renewed, ended, failed /* no answer that tells */ };
   rt::Task<LeaseRenewal> renew_lease(LeaseId lease, Duration timeout);
   rt::Task<void> end_lease(LeaseId lease);
+  // `too_old`: the store no longer knows all changes after that revision.
   enum class WatchOutcome { events, too_old, failed };
   struct WatchResult {
     WatchOutcome outcome = WatchOutcome::failed;
-    wire::StorePage page;
+    wire::StorePage page;  // the changes, removals included; none where nothing changed within the hold
   };
+  // The changes of keys that begin with `prefix` after the revision `after`; answered after `hold` at the latest.
   rt::Task<WatchResult> watch(std::string prefix, Revision after, Duration hold);
 
  private:
   rt::Task<ReadResult> read(std::string key, Duration timeout);
   static constexpr double renewal_reserve = 4;  // requests kept for lease renewals
-  // `keep`: requests that others may need more. False where the share is so far overdrawn that the caller should not
-  // wait.
+  // This node's part of the store's rates, 0 to 1.
   [[nodiscard]] double share_now() const;
-  rt::Task<bool> admit(double writes, Duration longest, double keep = renewal_reserve);
-  rt::Task<bool> admit_in_order(double writes, Duration longest);
+  // Waits for the share. `reserve`: requests that are left for others that may need them more. False where the share is
+  // so far overdrawn that the caller should not wait.
+  rt::Task<bool> admit(double writes, Duration timeout, double reserve = renewal_reserve);
+  rt::Task<bool> admit_in_order(double writes, Duration timeout);
   rt::Task<rt::HttpResult> send(std::string method, std::string target, std::string body, Duration timeout);
+  TxnOutcome on_malformed(const std::string& message, std::size_t operations, std::size_t bytes);
 
   Context& ctx_;
   rt::HttpClient http_;
   TokenBucket requests_;
   TokenBucket writes_;
-  std::deque<std::uint64_t> line_;  // transactions that wait for their turn
+  std::deque<std::uint64_t> queue_;  // tickets of transactions that wait for their turn
   std::uint64_t next_ticket_ = 0;
-  rt::Event line_moved_;
+  rt::Event queue_moved_;
 };
 
 }  // namespace martenwall::service
--- a/src/service/user_service.cpp
+++ b/src/service/user_service.cpp
@@ -243,7 +243,7 @@
   std::string note = as_leader ? "" : ctx_.settings.node;
   const TxnResult r = co_await job_rows_.store_new(job, std::move(note));
   if (r.outcome == TxnOutcome::committed) {
-    if (as_leader) leader_store_.adopt_job(term, std::move(job), KeyVersion{r.revision.value()});
+    if (as_leader) leader_service_.adopt_job(term, std::move(job), KeyVersion{r.revision.value()});
     // A leader that lost its office meanwhile has written without an inbox key; its successor
     // may have loaded before: the job would wait for the next load.
     if (as_leader && !ctx_.leads(term)) co_await write_inbox_note(id);
@@ -280,7 +280,7 @@
     // Written by this leader while it was busy, or by another node: either way it is to run.
     const Job job = *active.job;
     if (ctx_.has_valid_lease()) {
-      leader_store_.adopt_job(term, std::move(*active.job), active.version);
+      leader_service_.adopt_job(term, std::move(*active.job), active.version);
       if (const auto known = from_memory(id)) co_return *known;
     }
     if (job.dependent) {
@@ -462,7 +462,7 @@
   if (!ctx_.has_valid_lease() || !ctx_.scheduler->cancel(id, ctx_.now())) co_return retry_later("no leader");
   ctx_.notify_pending_work();
   ctx_.write_committed.notify();
-  const auto stored = co_await leader_store_.wait_final(id, seconds(3));
+  const auto stored = co_await leader_service_.wait_final(id, seconds(3));
   if (!stored) co_return retry_later("not stored yet");
   co_return answer(200, *stored);
 }
--- a/src/service/user_service.hpp
+++ b/src/service/user_service.hpp
@@ -9,7 +9,7 @@
 #include "runtime/http_server.hpp"
 #include "service/context.hpp"
 #include "service/job_row_store.hpp"
-#include "service/leader_store.hpp"
+#include "service/leader_service.hpp"
 #include "service/peer_service.hpp"
 #include "service/store_client.hpp"
 
@@ -17,8 +17,8 @@
 
 class UserService {
  public:
-  UserService(Context& ctx, StoreClient& state, LeaderStore& store, JobRowStore& jobs)
-      : ctx_(ctx), store_(state), leader_store_(store), job_rows_(jobs), wake_(ctx.loop) {}
+  UserService(Context& ctx, StoreClient& state, LeaderService& store, JobRowStore& jobs)
+      : ctx_(ctx), store_(state), leader_service_(store), job_rows_(jobs), wake_(ctx.loop) {}
   void set_peers(PeerService& peers) { peers_ = &peers; }
 
   rt::Task<rt::HttpResponse> submit(std::string body);
@@ -76,7 +76,7 @@
 
   Context& ctx_;
   StoreClient& store_;
-  LeaderStore& leader_store_;
+  LeaderService& leader_service_;
   JobRowStore& job_rows_;
   PeerService* peers_ = nullptr;
   StatusQueries asked_;
--- a/src/service/worker_service.cpp
+++ b/src/service/worker_service.cpp
@@ -32,7 +32,7 @@
   const Time now = ctx_.loop.refresh();
   if (ctx_.scheduler == nullptr || !ctx_.leadership.serves_workers(now)) return {};
   if (heartbeat.token > ctx_.leadership.token()) {
-    leader_store_.step_down("a worker has seen a higher token");
+    leader_service_.step_down(StepDownReason::higher_token_seen);
     return {};
   }
   if (ctx_.scheduler->is_released(heartbeat.machine)) return {HeartbeatResponse::Kind::released, {}};
@@ -146,7 +146,7 @@
       continue;
     }
     if (heartbeat->token > ctx_.leadership.token()) {
-      leader_store_.step_down("a worker has seen a higher token");
+      leader_service_.step_down(StepDownReason::higher_token_seen);
       co_return;
     }
     ctx_.scheduler->on_heartbeat(*heartbeat, StatusSource::command_reply, ctx_.now(), ctx_.may_start());
--- a/src/service/worker_service.hpp
+++ b/src/service/worker_service.hpp
@@ -5,7 +5,7 @@
 
 #include "runtime/http_server.hpp"
 #include "service/context.hpp"
-#include "service/leader_store.hpp"
+#include "service/leader_service.hpp"
 
 namespace martenwall::service {
 
@@ -13,8 +13,8 @@
  public:
   // Commands go to many machines and to each one seldom: their connections are not kept, since with one to
   // each worker, beside the workers' own, a large fleet would use up the sockets.
-  WorkerService(Context& ctx, LeaderStore& store)
-      : ctx_(ctx), leader_store_(store), http_(ctx.loop, ctx.settings.max_connections / 10, 256 * 1024, 0) {}
+  WorkerService(Context& ctx, LeaderService& store)
+      : ctx_(ctx), leader_service_(store), http_(ctx.loop, ctx.settings.max_connections / 10, 256 * 1024, 0) {}
   // Waits while this node is about to know whether it leads; what `answer` says then binds at that moment.
   rt::Task<void> settled();
   // To one report, at once: no wait may come between this and its sending. A stop there is harmless (docs/safety.md).
@@ -31,7 +31,7 @@
   rt::Task<void> announce(std::uint64_t term, CommandBatch batch);
 
   Context& ctx_;
-  LeaderStore& leader_store_;
+  LeaderService& leader_service_;
   rt::HttpClient http_;
 };
 
--- a/src/wire/store_codec.cpp
+++ b/src/wire/store_codec.cpp
@@ -19,6 +19,26 @@
 
 }  // namespace
 
+std::string item_target(const std::string& key) { return "/store/" + key; }
+
+std::string page_target(const std::string& prefix, const std::string& after) {
+  constexpr int page_items = 1000;  // the most that the store gives at once
+  std::string target = "/store?prefix=" + prefix + "&page=" + std::to_string(page_items);
+  if (!after.empty()) target += "&after=" + after;
+  return target;
+}
+
+std::string watch_target(const std::string& prefix, Revision after, Duration hold) {
+  return "/watch?prefix=" + prefix + "&after=" + std::to_string(after.value()) +
+         "&holdMs=" + std::to_string(hold.count() / 1000);
+}
+
+std::string lease_target(LeaseId lease) {
+  return std::string(create_lease_target) + "/" + std::to_string(lease.value());
+}
+
+std::string renew_lease_target(LeaseId lease) { return lease_target(lease) + "/touch"; }
+
 std::optional<StoreItem> parse_item(const std::string& body) { return item_of(parse(body)); }
 
 std::optional<StorePage> parse_page(const std::string& body) {
@@ -78,22 +98,30 @@
   return id ? std::optional{LeaseId{*id}} : std::nullopt;
 }
 
-std::string job_key(const JobId& id, bool dependent) { return (dependent ? "k/" : "j/") + id.value(); }
-std::string final_key(const JobId& id) { return "f/" + id.value(); }
+std::string job_key(const JobId& id, bool dependent) {
+  return (dependent ? dependent_job_prefix : job_prefix) + id.value();
+}
+JobId job_of_key(const std::string& key) {
+  constexpr std::size_t prefix_size = 2;  // of all three kinds
+  return JobId{key.substr(prefix_size)};
+}
+std::string final_key(const JobId& id) { return final_prefix + id.value(); }
 std::string just_before_final(const JobId& id) {
   std::string key = final_key(id);
   key.back() = static_cast<char>(key.back() - 1);
   return key + '~';  // above all that an id is made of
 }
-std::string inbox_key(const JobId& id) { return "i/" + id.value(); }
-std::string machines_key(std::uint32_t group) { return "m/" + std::to_string(group); }
-std::string tasks_key(const JobId& id, std::uint32_t first) { return "q/" + id.value() + "/" + std::to_string(first); }
+std::string inbox_key(const JobId& id) { return inbox_prefix + id.value(); }
+std::string machines_key(std::uint32_t group) { return machines_prefix + std::to_string(group); }
+std::string tasks_key(const JobId& id, std::uint32_t first) {
+  return tasks_prefix + id.value() + "/" + std::to_string(first);
+}
 std::string v1_tasks_key(const JobId& id, std::uint32_t number) {
-  return "p/" + id.value() + "/" + std::to_string(number);
+  return v1_tasks_prefix + id.value() + "/" + std::to_string(number);
 }
-std::string node_format_version_key(const std::string& node) { return "v/" + node; }
+std::string node_format_version_key(const std::string& node) { return node_format_version_prefix + node; }
 std::string chunk_key(const JobId& id, const std::string& nonce, std::size_t n) {
-  return "c/" + id.value() + "/" + nonce + "/" + std::to_string(n);
+  return chunk_prefix + id.value() + "/" + nonce + "/" + std::to_string(n);
 }
 
 std::string key_of(const RowKey& row) {
@@ -337,14 +365,18 @@
 bool asks_to_cancel(const json& note) { return flag(note, "cancel").value_or(false); }
 
 // Job ids have no '~', so that these notes may share the prefix that the leader watches.
-std::string reach_key(const std::string& node) { return "i/~" + node; }
-bool is_reach_key(const std::string& key) { return key.starts_with("i/~"); }
+constexpr const char* reach_prefix = "i/~";
+std::string reach_key(const std::string& node) { return reach_prefix + node; }
+bool is_reach_key(const std::string& key) { return key.starts_with(reach_prefix); }
+std::string node_of_reach_key(const std::string& key) { return key.substr(std::string_view(reach_prefix).size()); }
 json encode_reach(std::size_t stranded) { return {{"stranded", stranded}}; }
 std::optional<std::size_t> decode_reach(const json& note) {
   const auto n = count(note, "stranded");
   return n ? std::optional<std::size_t>{static_cast<std::size_t>(*n)} : std::nullopt;
 }
 
+std::string transaction_id_of(const json& value) { return value.value(transaction_id_field, ""); }
+
 std::vector<std::string> parse_failed(const std::string& body) {
   std::vector<std::string> out;
   for (const auto& key : list(parse(body), "failed")) {
--- a/src/wire/store_codec.hpp
+++ b/src/wire/store_codec.hpp
@@ -38,6 +38,17 @@
   std::optional<LeaseId> lease;
 };
 
+// Targets of the store's requests.
+constexpr const char* transaction_target = "/multi";
+constexpr const char* create_lease_target = "/leases";
+std::string item_target(const std::string& key);
+// The items whose keys begin with `prefix`, in their order, up to a page of them; from `after` on, which is left out.
+std::string page_target(const std::string& prefix, const std::string& after);
+// The changes of keys that begin with `prefix` after the revision `after`; answered after `hold` where there are none.
+std::string watch_target(const std::string& prefix, Revision after, Duration hold);
+std::string lease_target(LeaseId lease);
+std::string renew_lease_target(LeaseId lease);
+
 std::optional<StoreItem> parse_item(const std::string& body);
 std::optional<StorePage> parse_page(const std::string& body);
 std::optional<StorePage> parse_events(const std::string& body);
@@ -46,7 +57,20 @@
 std::string encode_lease(Duration ttl);
 std::optional<LeaseId> parse_lease(const std::string& body);
 
+// The first part of each kind of key; what follows is said at the head of this file.
+constexpr const char* job_prefix = "j/";
+constexpr const char* dependent_job_prefix = "k/";
+constexpr const char* final_prefix = "f/";
+constexpr const char* chunk_prefix = "c/";
+constexpr const char* tasks_prefix = "q/";
+constexpr const char* v1_tasks_prefix = "p/";
+constexpr const char* machines_prefix = "m/";
+constexpr const char* inbox_prefix = "i/";
+constexpr const char* node_format_version_prefix = "v/";
+
 std::string job_key(const JobId& id, bool dependent = false);
+// The job of a job's own key, of its end or of its inbox entry.
+JobId job_of_key(const std::string& key);
 std::string final_key(const JobId& id);
 std::string inbox_key(const JobId& id);
 // A text that sorts before the job's key and after every other job's key that does; to list from there on.
@@ -105,9 +129,14 @@
 // A node that does not reach the leader tells it so how many workers it cannot hand over to it.
 std::string reach_key(const std::string& node);
 bool is_reach_key(const std::string& key);
+std::string node_of_reach_key(const std::string& key);  // of a key that is one
 json encode_reach(std::size_t stranded);
 std::optional<std::size_t> decode_reach(const json& note);
 
+// Every value that the leader writes carries the id of its transaction in this field.
+constexpr const char* transaction_id_field = "by";
+std::string transaction_id_of(const json& value);  // empty where it carries none
+
 // The keys of a transaction whose conditions failed.
 std::vector<std::string> parse_failed(const std::string& body);
 
--- a/tests/failure_combinations_test.cpp
+++ b/tests/failure_combinations_test.cpp
@@ -195,8 +195,9 @@
     r.run(0.05);
   }
   r.store().faults(b.old).leases_slower = Duration{0};
-  EXPECT_EQ(1U, r.logged(b.old, "in doubt")) << "said once";
-  EXPECT_EQ(1U, r.logged(b.old, "was not stored"));
+  EXPECT_EQ(1U, r.logged(b.old, "outcome=no_answer")) << "said once";
+  EXPECT_EQ(0U, r.logged(b.old, "outcome=unknown_at_term_end"));
+  EXPECT_EQ(1U, r.logged(b.old, "outcome=not_stored"));
   b.ends_well(700);
 }
 
@@ -330,7 +331,7 @@
   r.store().write(key, {{"cancel", true}, {"node", "beech"}});  // the same user, by another node
   r.run(12);
   EXPECT_EQ(b.old, r.leader());
-  EXPECT_EQ(0U, r.logged(b.old, "leads no more"));
+  EXPECT_EQ(0U, r.logged(b.old, "leadership lost"));
   EXPECT_TRUE(r.run_until(10, [&] { return !r.store().has(key); })) << "and the note goes in the end";
   b.ends_well(700);
 }
@@ -341,7 +342,7 @@
   Busy b{47};
   Region& r = b.r;
   const auto other = r.others_of(b.old, 1);
-  ASSERT_TRUE(r.run_until(20, [&] { return r.logged(b.old, "all nodes have reached level") > 0; }));
+  ASSERT_TRUE(r.run_until(20, [&] { return r.logged(b.old, "format version raised") > 0; }));
   JobSpec chained;
   chained.tasks = 1;
   chained.need = {1, 1, 8};
--- a/tests/heartbeat_relay_test.cpp
+++ b/tests/heartbeat_relay_test.cpp
@@ -276,7 +276,7 @@
   JobRowStore rows{ctx, state};
   FormatVersionService levels{ctx, state};
   ConfigurationService configuration{ctx, state};
-  LeaderStore store{ctx, state, rows, levels, configuration};
+  LeaderService store{ctx, state, rows, levels, configuration};
   WorkerService workers{ctx, store};
   bool refuses = false;  // its peers' requests
   bool old_version = false;
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -42,7 +42,8 @@
 QUANTILES = (0.5, 0.9, 0.99)
 FIELD_EVENTS = ("cut_zone", "restart_workers", "limits")
 OWN_EVENTS = ("kill_leader", "kill_controller", "kill_all", "configure")
-IN_FORCE = re.compile(r"^(\S+) info configuration version (\d+) in force")
+# Either form of the line: a run may mix versions.
+IN_FORCE = re.compile(r"^(\S+) info configuration (?:version (\d+) in force|in force version=(\d+))")
 APPLIED = re.compile(r"^applied: version (\d+)")
 
 
@@ -134,7 +135,7 @@
             with open(c.log, encoding="utf-8", errors="replace") as log:
                 for line in log:
                     if m := IN_FORCE.match(line):
-                        lines.append((datetime.datetime.fromisoformat(m[1]).timestamp(), int(m[2])))
+                        lines.append((datetime.datetime.fromisoformat(m[1]).timestamp(), int(m[2] or m[3])))
             for version, began in self.began.items():
                 when = next((at for at, v in lines if v >= version and at >= began - 0.01), None)
                 away = any(began < to and (when is None or when > start) for start, to in gaps.get(c.name, []))
