--- a/src/service/configuration_changes.cpp
+++ b/src/service/configuration_changes.cpp
@@ -10,16 +10,16 @@
 
 using nlohmann::json;
 
-constexpr Duration commit_gap = seconds(0.5);  // between commits: changes that come meanwhile share the next
-constexpr Duration commit_limit = seconds(8);
-constexpr Duration answer_limit = seconds(9.5);
-constexpr Duration store_limit = seconds(1);
-constexpr Duration try_again = seconds(0.2);
-constexpr std::size_t most_waiting = 1000;
-constexpr std::size_t most_together = 16;
-constexpr std::size_t kept_rows = 32;  // of changes
-constexpr std::size_t history_bytes = 48 * 1024;
-constexpr std::size_t longest_name = 80;
+constexpr Duration commit_interval = seconds(0.5);  // between commits: changes that come meanwhile share the next
+constexpr Duration commit_timeout = seconds(8);
+constexpr Duration answer_timeout = seconds(9.5);
+constexpr Duration store_timeout = seconds(1);
+constexpr Duration retry_pause = seconds(0.2);
+constexpr std::size_t max_queued_changes = 1000;
+constexpr std::size_t max_batch_size = 16;
+constexpr std::size_t max_change_rows = 32;  // of changes
+constexpr std::size_t max_history_bytes = 48 * 1024;
+constexpr std::size_t max_author_bytes = 80;
 
 wire::PeerReply failure(int status, const std::string& why) { return {status, json{{"error", why}}.dump(), {}}; }
 
@@ -43,51 +43,51 @@
     const bool follows = co_await configuration_.follow();
     co_return follows ? wire::PeerReply{200, "{}", {}} : failure(503, "the state service does not answer");
   }
-  asked->by = asked->by.substr(0, longest_name);
-  if (asked->dry_run) co_return co_await try_out(std::move(*asked));
+  asked->by = asked->by.substr(0, max_author_bytes);
+  if (asked->dry_run) co_return co_await dry_run(std::move(*asked));
   co_return co_await apply(std::move(*asked));
 }
 
 rt::Task<wire::PeerReply> ConfigurationChanges::apply(wire::ConfigurationRequest request) {
-  if (waiting_.size() >= most_waiting) co_return failure(503, "too many changes wait");
-  auto wanted = std::make_shared<Wanted>(ctx_.loop, std::move(request));
-  waiting_.push_back(wanted);
-  asked_.notify();
-  const Time until = ctx_.now() + answer_limit;
-  while (!wanted->reply && ctx_.now() < until) co_await wanted->answered.wait(until);
-  if (wanted->reply) co_return *wanted->reply;
-  if (std::erase(waiting_, wanted) > 0) co_return failure(503, "not begun in time");
+  if (queue_.size() >= max_queued_changes) co_return failure(503, "too many changes wait");
+  auto change = std::make_shared<PendingChange>(ctx_.loop, std::move(request));
+  queue_.push_back(change);
+  change_queued_.notify();
+  const Time until = ctx_.now() + answer_timeout;
+  while (!change->reply && ctx_.now() < until) co_await change->answered.wait(until);
+  if (change->reply) co_return *change->reply;
+  if (std::erase(queue_, change) > 0) co_return failure(503, "not begun in time");
   co_return failure(504, "not known whether it was applied");
 }
 
 rt::Task<void> ConfigurationChanges::run() {
   for (;;) {
-    if (waiting_.empty()) {
+    if (queue_.empty()) {
       const Time until = ctx_.now() + seconds(60);
-      co_await asked_.wait(until);
+      co_await change_queued_.wait(until);
       continue;
     }
-    const auto n = static_cast<std::ptrdiff_t>(std::min(waiting_.size(), most_together));
-    Batch batch{waiting_.begin(), waiting_.begin() + n};
-    waiting_.erase(waiting_.begin(), waiting_.begin() + n);
+    const auto n = static_cast<std::ptrdiff_t>(std::min(queue_.size(), max_batch_size));
+    Batch batch{queue_.begin(), queue_.begin() + n};
+    queue_.erase(queue_.begin(), queue_.begin() + n);
     co_await commit(std::move(batch));
-    co_await ctx_.loop.sleep(commit_gap);
+    co_await ctx_.loop.sleep(commit_interval);
   }
 }
 
-void ConfigurationChanges::answer(Wanted& wanted, wire::PeerReply reply) {
-  if (wanted.reply) return;
-  wanted.reply = std::move(reply);
-  wanted.answered.notify();
+void ConfigurationChanges::answer(PendingChange& change, wire::PeerReply reply) {
+  if (change.reply) return;
+  change.reply = std::move(reply);
+  change.answered.notify();
 }
 
 void ConfigurationChanges::answer_rest(Batch& batch, const wire::PeerReply& reply) {
-  for (auto& w : batch) answer(*w, reply);
+  for (auto& change : batch) answer(*change, reply);
 }
 
-rt::Task<ConfigurationChanges::Stored> ConfigurationChanges::read() {
-  Stored out;
-  const ReadResult r = co_await store_.get(wire::configuration_key, store_limit);
+rt::Task<ConfigurationChanges::Snapshot> ConfigurationChanges::read() {
+  Snapshot out;
+  const ReadResult r = co_await store_.get(wire::configuration_key, store_timeout);
   out.known = r.outcome == ReadOutcome::absent;
   if (r.outcome != ReadOutcome::found) co_return out;
   auto row = wire::decode_configuration(r.item.value);
@@ -101,42 +101,42 @@
 
 std::optional<wire::ConfigurationRow> ConfigurationChanges::merge(Batch& batch, const wire::ConfigurationRow& before) {
   wire::ConfigurationRow row = before;
-  for (auto& w : batch) {
-    w->version.reset();
-    if (w->reply) continue;
-    if (w->request.expected && *w->request.expected != row.version) {
-      answer(*w, outdated(row.version));
+  for (auto& change : batch) {
+    change->version.reset();
+    if (change->reply) continue;
+    if (change->request.expected && *change->request.expected != row.version) {
+      answer(*change, outdated(row.version));
       continue;
     }
-    json document = config::patched(row.document, w->request.patch, ctx_.settings);
+    json document = config::patched(row.document, change->request.patch, ctx_.settings);
     if (document == row.document) {
-      answer(*w, applied(row.version, false));
+      answer(*change, applied(row.version, false));
       continue;
     }
     const ConfigurationVersion next{row.version.value() + 1};
     try {
       configuration_.require_valid(document);
     } catch (const config::SettingsError& e) {
-      answer(*w, failure(400, e.what()));
+      answer(*change, failure(400, e.what()));
       continue;
     }
     const std::size_t size = document.dump().size();
-    if (size + longest_name * kept_rows > ctx_.limits.value_bytes()) {
-      answer(*w, failure(400,
-                         "the document would have " + std::to_string(size) + " bytes: too many for the state service"));
+    if (size + max_author_bytes * max_change_rows > ctx_.limits.value_bytes()) {
+      answer(*change, failure(400, "the document would have " + std::to_string(size) +
+                                       " bytes: too many for the state service"));
       continue;
     }
     row.document = std::move(document);
     row.version = next;
-    w->version = next;
+    change->version = next;
   }
   return row.version == before.version ? std::nullopt : std::optional{std::move(row)};
 }
 
-rt::Task<wire::PeerReply> ConfigurationChanges::try_out(wire::ConfigurationRequest request) {
-  const Stored stored = co_await read();
+rt::Task<wire::PeerReply> ConfigurationChanges::dry_run(wire::ConfigurationRequest request) {
+  const Snapshot stored = co_await read();
   if (!stored.known) co_return failure(503, "the state service does not answer");
-  Batch batch{std::make_shared<Wanted>(ctx_.loop, std::move(request))};
+  Batch batch{std::make_shared<PendingChange>(ctx_.loop, std::move(request))};
   const auto row = merge(batch, stored.row);
   if (!row) co_return *batch.front()->reply;
   const json body{{"version", stored.row.version.value()}, {"before", stored.row.document}, {"after", row->document}};
@@ -147,121 +147,123 @@
 
 // Until there is a configuration nobody reads it. Whoever makes the first has every node's word that it reads from now
 // on; the conditions fail where one of them was replaced by a new process, or began to lead, since it was asked.
-rt::Task<ConfigurationChanges::Fence> ConfigurationChanges::fence_first_change() {
-  Fence out;
+rt::Task<ConfigurationChanges::FirstChangeConditions> ConfigurationChanges::first_change_conditions() {
+  FirstChangeConditions out;
   if (ctx_.format_version < wire::current_format_version) {
-    out.why_not = "not all nodes run this version yet";
+    out.refusal = "not all nodes run this version yet";
     co_return out;
   }
   const auto stated = co_await store_.list(wire::node_format_version_prefix);
-  const ReadResult lead = co_await store_.get(wire::leader_key, store_limit);
+  const ReadResult lead = co_await store_.get(wire::leader_key, store_timeout);
   if (!stated || lead.outcome != ReadOutcome::found) {
-    out.why_not = "the state service does not answer, or no node leads";
+    out.refusal = "the state service does not answer, or no node leads";
     co_return out;
   }
-  for (const auto& item : stated->items) out.when.push_back({item.key, item.version});
-  out.when.push_back({wire::leader_key, lead.item.version});
+  for (const auto& item : stated->items) out.conditions.push_back({item.key, item.version});
+  out.conditions.push_back({wire::leader_key, lead.item.version});
   wire::ConfigurationRequest follow;
   follow.ask = wire::ConfigurationRequest::Ask::follow;
   for (const auto& peer : ctx_.settings.peers) {
     const bool there = std::ranges::any_of(
         stated->items, [&](const wire::StoreItem& i) { return i.key == wire::node_format_version_key(peer.node); });
     wire::PeerRequest request{wire::PeerVerb::configuration, "", wire::encode_configuration_request(follow), {}};
-    const auto reply = co_await peers_.ask_node(peer.node, std::move(request), store_limit);
+    const auto reply = co_await peers_.ask_node(peer.node, std::move(request), store_timeout);
     if (there && reply && reply->status == 200) continue;
-    out.why_not = "the first change needs the word of all nodes: " + peer.node + " does not answer, or cannot follow";
+    out.refusal = "the first change needs the word of all nodes: " + peer.node + " does not answer, or cannot follow";
     co_return out;
   }
   const bool follows = co_await configuration_.follow();
-  if (!follows) out.why_not = "the state service does not answer";
+  if (!follows) out.refusal = "the state service does not answer";
   co_return out;
 }
 
-ConfigurationChanges::Transaction ConfigurationChanges::transaction_for(const Batch& batch, const Stored& before,
+ConfigurationChanges::Transaction ConfigurationChanges::transaction_for(const Batch& batch, const Snapshot& before,
                                                                         wire::ConfigurationRow after) {
-  Transaction t;
-  t.version = after.version;
-  t.mark = ctx_.settings.node + "-" + std::to_string(ctx_.random());
-  wire::ChangesRow changes{t.mark, {}};
-  for (const auto& w : batch) {
-    if (w->version) changes.changes.push_back({*w->version, Context::wall_ms(), w->request.by, w->request.patch});
+  Transaction transaction;
+  transaction.version = after.version;
+  transaction.id = ctx_.settings.node + "-" + std::to_string(ctx_.random());
+  wire::ChangesRow changes{transaction.id, {}};
+  for (const auto& change : batch) {
+    if (change->version)
+      changes.changes.push_back({*change->version, Context::wall_ms(), change->request.by, change->request.patch});
   }
-  after.mark = t.mark;
+  after.mark = transaction.id;
   after.recorded.push_back(after.version);
-  if (after.recorded.size() > kept_rows) {
-    t.then.push_back({wire::changes_key(after.recorded.front()), std::nullopt, std::nullopt});
+  if (after.recorded.size() > max_change_rows) {
+    transaction.operations.push_back({wire::changes_key(after.recorded.front()), std::nullopt, std::nullopt});
     after.recorded.erase(after.recorded.begin());
   }
-  t.when.push_back({wire::configuration_key, before.key_version});
-  t.then.push_back({wire::configuration_key, wire::encode_configuration(after), std::nullopt});
-  t.then.push_back({wire::changes_key(after.version), wire::encode_changes(changes), std::nullopt});
-  return t;
+  transaction.conditions.push_back({wire::configuration_key, before.key_version});
+  transaction.operations.push_back({wire::configuration_key, wire::encode_configuration(after), std::nullopt});
+  transaction.operations.push_back({wire::changes_key(after.version), wire::encode_changes(changes), std::nullopt});
+  return transaction;
 }
 
-rt::Task<std::optional<bool>> ConfigurationChanges::was_committed(Transaction t) {
-  const Stored now = co_await read();
+rt::Task<std::optional<bool>> ConfigurationChanges::was_committed(Transaction transaction) {
+  const Snapshot now = co_await read();
   if (!now.known) co_return std::nullopt;
-  if (now.key_version != t.when.front().version) {
-    if (now.row.mark == t.mark) co_return true;
+  if (now.key_version != transaction.conditions.front().version) {
+    if (now.row.mark == transaction.id) co_return true;
     // Another came after it, or before: the row of its changes tells.
-    const ReadResult r = co_await store_.get(wire::changes_key(t.version), store_limit);
+    const ReadResult r = co_await store_.get(wire::changes_key(transaction.version), store_timeout);
     if (r.outcome == ReadOutcome::failed) co_return std::nullopt;
     const auto changes = r.outcome == ReadOutcome::found ? wire::decode_changes(r.item.value) : std::nullopt;
-    const bool ours = changes.has_value() && changes->mark == t.mark;
+    const bool ours = changes.has_value() && changes->mark == transaction.id;
     co_return ours;
   }
   co_return std::nullopt;
 }
 
 // The same transaction again and again until it is known what became of it: its conditions let at most one through.
-rt::Task<ConfigurationChanges::Outcome> ConfigurationChanges::carry_out(Transaction t, Time deadline) {
-  bool doubt = false;
+rt::Task<ConfigurationChanges::Outcome> ConfigurationChanges::commit_transaction(Transaction transaction,
+                                                                                 Time deadline) {
+  bool uncertain = false;
   while (ctx_.now() < deadline) {
-    auto when = t.when;
-    auto then = t.then;
-    const TxnResult r = co_await store_.txn(std::move(when), std::move(then), store_limit);
+    auto conditions = transaction.conditions;
+    auto operations = transaction.operations;
+    const TxnResult r = co_await store_.txn(std::move(conditions), std::move(operations), store_timeout);
     if (r.outcome == TxnOutcome::committed) co_return Outcome::committed;
-    if (r.outcome == TxnOutcome::conflict && !doubt) co_return Outcome::lost;
+    if (r.outcome == TxnOutcome::conflict && !uncertain) co_return Outcome::lost;
     if (r.outcome == TxnOutcome::too_large) co_return Outcome::lost;
-    doubt = doubt || r.outcome == TxnOutcome::unknown;
-    if (doubt) {
-      const auto committed = co_await was_committed(t);
+    uncertain = uncertain || r.outcome == TxnOutcome::unknown;
+    if (uncertain) {
+      const auto committed = co_await was_committed(transaction);
       if (committed.has_value()) co_return committed.value() ? Outcome::committed : Outcome::lost;
       // Its first conditions hold still, others do not: none of its tries can come through any more.
       if (r.outcome == TxnOutcome::conflict) co_return Outcome::lost;
     }
-    co_await ctx_.loop.sleep(try_again);
+    co_await ctx_.loop.sleep(retry_pause);
   }
-  co_return doubt ? Outcome::in_doubt : Outcome::lost;
+  co_return uncertain ? Outcome::uncertain : Outcome::lost;
 }
 
 rt::Task<void> ConfigurationChanges::commit(Batch batch) {
-  const Time deadline = ctx_.now() + commit_limit;
+  const Time deadline = ctx_.now() + commit_timeout;
   while (ctx_.now() < deadline) {
-    const Stored before = co_await read();
+    const Snapshot before = co_await read();
     if (!before.known) {
-      co_await ctx_.loop.sleep(try_again);
+      co_await ctx_.loop.sleep(retry_pause);
       continue;
     }
     auto after = merge(batch, before.row);
     if (!after) co_return;
-    Fence fence;
-    if (before.key_version == KeyVersion{0}) fence = co_await fence_first_change();
-    if (!fence.why_not.empty()) {
-      answer_rest(batch, failure(503, fence.why_not));
+    FirstChangeConditions first;
+    if (before.key_version == KeyVersion{0}) first = co_await first_change_conditions();
+    if (!first.refusal.empty()) {
+      answer_rest(batch, failure(503, first.refusal));
       co_return;
     }
-    Transaction t = transaction_for(batch, before, std::move(*after));
-    t.when.insert(t.when.end(), fence.when.begin(), fence.when.end());
-    const Outcome outcome = co_await carry_out(std::move(t), deadline);
+    Transaction transaction = transaction_for(batch, before, std::move(*after));
+    transaction.conditions.insert(transaction.conditions.end(), first.conditions.begin(), first.conditions.end());
+    const Outcome outcome = co_await commit_transaction(std::move(transaction), deadline);
     if (outcome == Outcome::committed) {
-      for (auto& w : batch) {
-        if (w->version) answer(*w, applied(*w->version, true));
+      for (auto& change : batch) {
+        if (change->version) answer(*change, applied(*change->version, true));
       }
       co_await configuration_.read(false);
       co_return;
     }
-    if (outcome == Outcome::in_doubt) {
+    if (outcome == Outcome::uncertain) {
       answer_rest(batch, failure(504, "not known whether it was applied"));
       co_return;
     }
@@ -285,7 +287,7 @@
   for (const auto& c : changes) {
     json one{{"version", c.version.value()}, {"atMs", c.at_ms}, {"by", c.by}, {"patch", c.patch}};
     bytes += one.dump().size();
-    if (bytes > history_bytes) break;
+    if (bytes > max_history_bytes) break;
     list.push_back(std::move(one));
   }
   co_return wire::PeerReply{200, json{{"changes", list}}.dump(), {}};
--- a/src/service/configuration_command.cpp
+++ b/src/service/configuration_command.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr Duration patience = seconds(12);
+constexpr Duration answer_timeout = seconds(12);
 
 std::optional<json> read_patch(const std::string& path, std::ostream& err) {
   std::ifstream in{path};
@@ -28,15 +28,15 @@
   return patch;
 }
 
-struct Asked {
+struct Exchange {
   std::optional<wire::PeerReply> reply;
-  bool over = false;
+  bool finished = false;
 };
 
-rt::Task<void> ask(rt::Loop& loop, rt::Endpoint to, std::string frame, std::shared_ptr<Asked> asked) {
-  const Time deadline = loop.now() + patience;
-  asked->reply = co_await ask_once(loop, std::move(to), std::move(frame), deadline);
-  asked->over = true;
+rt::Task<void> ask(rt::Loop& loop, rt::Endpoint to, std::string frame, std::shared_ptr<Exchange> exchange) {
+  const Time deadline = loop.now() + answer_timeout;
+  exchange->reply = co_await ask_once(loop, std::move(to), std::move(frame), deadline);
+  exchange->finished = true;
 }
 
 void show_change(const json& body, std::ostream& out) {
@@ -81,14 +81,14 @@
     return CommandExit::bad_input;
   }
   rt::Loop loop;
-  const auto asked = std::make_shared<Asked>();
-  rt::spawn(ask(loop, std::move(*to), std::move(bytes), asked));
-  while (!asked->over) loop.step();
-  const auto& reply = asked->reply;
+  const auto exchange = std::make_shared<Exchange>();
+  rt::spawn(ask(loop, std::move(*to), std::move(bytes), exchange));
+  while (!exchange->finished) loop.step();
+  const auto& reply = exchange->reply;
   const json body = reply ? wire::parse(reply->body) : json{};
   if (!reply || !body.is_object()) {
     err << "config: no answer from " << command.node << " (not reached, or of an older version)\n";
-    return CommandExit::in_doubt;
+    return CommandExit::uncertain;
   }
   if (reply->status == 200) {
     show(request, body, out);
@@ -98,7 +98,7 @@
   if (body.contains("version")) err << " (it is " << body.at("version") << ")";
   err << "\n";
   constexpr int unknown_outcome = 504;
-  return reply->status == unknown_outcome ? CommandExit::in_doubt : CommandExit::refused;
+  return reply->status == unknown_outcome ? CommandExit::uncertain : CommandExit::refused;
 }
 
 }  // namespace martenwall::service
--- a/src/service/configuration_command.hpp
+++ b/src/service/configuration_command.hpp
@@ -9,19 +9,22 @@
 
 namespace martenwall::service {
 
+// The exit codes of the command.
 enum class CommandExit : int {
   done = 0,
   refused = 1,    // the node's answer says why; nothing changed
   bad_input = 2,  // a file or an address that cannot be used
-  in_doubt = 3,   // no answer, or one that does not tell: ask for the version
+  uncertain = 3,  // no answer, or one that does not tell: ask for the version
 };
 
+// What was said on the command line.
 struct ConfigurationCommand {
   wire::ConfigurationRequest request;
   std::string node;  // its address, `cluster_listen` in the settings
   std::string file;  // of the patch, for apply
 };
 
+// Asks the node once, on a loop of its own, and prints its answer; waits 12 s at most. Errors are one line on `err`.
 CommandExit run_command(ConfigurationCommand command, std::ostream& out, std::ostream& err);
 
 }  // namespace martenwall::service
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -108,7 +108,7 @@
   EXPECT_EQ(service::CommandExit::bad_input, run(command, told));
   EXPECT_NE(std::string::npos, told.find("'somewhere'"));
   command.node = "127.0.0.1:1";
-  EXPECT_EQ(service::CommandExit::in_doubt, run(command, told)) << "nobody listens there";
+  EXPECT_EQ(service::CommandExit::uncertain, run(command, told)) << "nobody listens there";
   command.request.ask = Ask::apply;
   command.file = "/nowhere/change.json";
   EXPECT_EQ(service::CommandExit::bad_input, run(command, told));
