--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -10,16 +10,19 @@
 
 namespace martenwall::config {
 
+// Another controller node; `addr` is where it listens for peers.
 struct Peer {
   std::string node, zone, addr;
 };
 
+// A service-level objective of a class of jobs.
 struct Objective {
   std::string kind, job_class;
   double within_s = 0, share = 0;
   double times = 1;  // of the deadline, for the kind `deadline`
 };
 
+// The settings file of one node; rates are per second.
 struct Settings {
   std::string node, zone, listen, peer_listen, cloud, state;
   std::vector<Peer> peers;
@@ -45,12 +48,15 @@
   using std::runtime_error::runtime_error;
 };
 
+// Throws SettingsError where a field is missing, misspelt or out of its range.
 Settings parse_settings(const std::string& json_text);
+// The same of a file; throws also where it cannot be read.
 Settings load_settings(const std::string& path);
 // Java-style properties; unknown names are errors, since a misspelt setting must not pass unseen.
 void apply_properties(const std::string& path, Policy& policy);
 // One of them; throws where there is no such name, or the value is negative.
 void set_property(const std::string& name, double value, Policy& policy);
+// Throws SettingsError where settings and policy do not go together.
 void check(const Settings& settings, const Policy& policy);
 
 }  // namespace martenwall::config
--- a/src/service/configuration_changes.hpp
+++ b/src/service/configuration_changes.hpp
@@ -12,6 +12,7 @@
 
 namespace martenwall::service {
 
+// Serves on every node: the store decides between nodes that change the configuration at the same time.
 class ConfigurationChanges {
  public:
   ConfigurationChanges(Context& ctx, StoreClient& store, PeerService& peers, ConfigurationService& configuration)
--- a/src/service/configuration_service.hpp
+++ b/src/service/configuration_service.hpp
@@ -8,10 +8,12 @@
 
 namespace martenwall::service {
 
+// Keeps `Context::configuration`, `policy` and `validity`; a leader's scheduler is told of each new version.
 class ConfigurationService {
  public:
   ConfigurationService(Context& ctx, StoreClient& state)
       : ctx_(ctx), store_(state), files_(ctx.policy), woken_(ctx.loop) {}
+  // Reads the configuration again and again. Never returns; started once by the node.
   rt::Task<void> run();
   // Reads the newest version; false where that cannot be known now. `none_can_come`: where there is none, none can come
   // without this node's word.
--- a/src/service/fenced_transaction.hpp
+++ b/src/service/fenced_transaction.hpp
@@ -22,6 +22,7 @@
 // Builds transactions within the store's limits. Used only while this node leads; nothing here suspends.
 class TransactionBuilder {
  public:
+  // Both outlive this object.
   TransactionBuilder(Context& ctx, const KeyVersions& versions) : ctx_(ctx), versions_(versions) {}
 
   // All rows, in as few transactions as the limits allow. Rows that do not fit a value are handed back to the scheduler
--- a/src/service/finished_job_cache.hpp
+++ b/src/service/finished_job_cache.hpp
@@ -9,9 +9,12 @@
 
 namespace martenwall::service {
 
+// Keeps the latest ends only; a job that is not found may be over all the same.
 class FinishedJobCache {
  public:
+  // `most`: jobs that are kept.
   explicit FinishedJobCache(std::size_t most = 50'000) : most_(most) {}
+  // Without effect where the phase is not final or the job is known.
   void add(const JobStatus& s) {
     if (!is_final(s.phase) || !by_id_.try_emplace(s.id, s).second) return;
     order_.push_back(s.id);
@@ -19,6 +22,7 @@
     by_id_.erase(order_.front());
     order_.pop_front();
   }
+  // Nothing where the end is not known here.
   [[nodiscard]] std::optional<JobStatus> find(const JobId& id) const {
     const auto it = by_id_.find(id);
     return it == by_id_.end() ? std::nullopt : std::optional{it->second};
--- a/src/service/format_version_service.hpp
+++ b/src/service/format_version_service.hpp
@@ -9,9 +9,12 @@
 
 namespace martenwall::service {
 
+// Keeps `Context::format_version`, which never falls.
 class FormatVersionService {
  public:
+  // Both outlive this object.
   FormatVersionService(Context& ctx, StoreClient& state) : ctx_(ctx), store_(state) {}
+  // States this node's version, then waits for, or as the leader raises, that of all. Ends once it is raised.
   rt::Task<void> run();
   // Reads the level of all; nothing where the store did not answer. A leader does so before it reads any row.
   rt::Task<bool> read();
--- a/src/service/key_versions.hpp
+++ b/src/service/key_versions.hpp
@@ -14,7 +14,9 @@
   void record(const std::string& key, KeyVersion version) { versions_[key] = version; }
   // The key was removed.
   void erase(const std::string& key) { versions_.erase(key); }
+  // Forgets all, when a term begins.
   void clear() { versions_.clear(); }
+  // Whether the key is known to be there.
   [[nodiscard]] bool contains(const std::string& key) const { return versions_.contains(key); }
   // Version 0, which is the store's word for an absent key, where the key is not listed.
   [[nodiscard]] KeyVersion version_of(const std::string& key) const {
--- a/src/service/leader_election.hpp
+++ b/src/service/leader_election.hpp
@@ -13,6 +13,7 @@
 // a term compare it after each suspension and end where it has moved on.
 class LeaderElection {
  public:
+  // Both outlive this object.
   LeaderElection(Context& ctx, StoreClient& store) : ctx_(ctx), store_(store) {}
 
   // Keeps `Context::leader` up to date and returns once no node holds the leader key.
--- a/src/service/leader_inbox.hpp
+++ b/src/service/leader_inbox.hpp
@@ -12,6 +12,7 @@
 
 namespace martenwall::service {
 
+// All its coroutines end where they find, after a suspension, that their term no longer leads.
 class LeaderInbox {
  public:
   LeaderInbox(Context& ctx, StoreClient& store, JobRowStore& job_rows, JobAdopter& adopter, KeyVersions& versions,
--- a/src/service/leader_recovery.hpp
+++ b/src/service/leader_recovery.hpp
@@ -14,6 +14,7 @@
 
 namespace martenwall::service {
 
+// Fills KeyVersions and the CleanupQueue of the new term on the way.
 class LeaderRecovery {
  public:
   LeaderRecovery(Context& ctx, StoreClient& store, JobRowStore& job_rows, FormatVersionService& format_versions,
--- a/src/service/leader_service.hpp
+++ b/src/service/leader_service.hpp
@@ -19,6 +19,7 @@
 
 namespace martenwall::service {
 
+// Owns the parts of a leadership; none of them knows it.
 class LeaderService {
  public:
   LeaderService(Context& ctx, StoreClient& store, JobRowStore& job_rows, FormatVersionService& format_versions,
--- a/src/service/step_down_reason.hpp
+++ b/src/service/step_down_reason.hpp
@@ -5,6 +5,7 @@
 
 namespace martenwall::service {
 
+// Log lines have it as `reason=`.
 enum class StepDownReason : std::uint8_t {
   lease_expired,         // the store says that the lease has ended
   higher_token_seen,     // a worker has heard from a leader with a higher fencing token
--- a/src/service/store_client.hpp
+++ b/src/service/store_client.hpp
@@ -14,6 +14,7 @@
 
 // `absent` is the store's own word; `failed`: no answer, or none that can be read.
 enum class ReadOutcome { found, absent, failed };
+// The item is there where the outcome is `found`.
 struct ReadResult {
   ReadOutcome outcome = ReadOutcome::failed;
   wire::StoreItem item;  // where it was found
@@ -23,6 +24,7 @@
 // malformed to the store, which is what it calls values and transactions beyond its limits. `refused`: not executed,
 // and never will be. `unknown`: no answer; it may have been executed, or may be later.
 enum class TxnOutcome { committed, conflict, no_lease, too_large, refused, unknown };
+// The revision is there where the outcome is `committed`.
 struct TxnResult {
   TxnOutcome outcome = TxnOutcome::refused;
   Revision revision;  // of what was committed: the version of every key that was written
@@ -33,7 +35,9 @@
 // share is overdrawn for longer. Timeouts are for the answer. Nothing is retried here.
 class StoreClient {
  public:
+  // `ctx` outlives the client, and is where it notes when the store answered last.
   explicit StoreClient(Context& ctx);
+  // The item at one key.
   rt::Task<ReadResult> get(std::string key, Duration timeout);
   // Does not wait for the share; for the few reads that decisions wait for.
   rt::Task<ReadResult> get_unthrottled(std::string key, Duration timeout);
@@ -55,11 +59,15 @@
   [[nodiscard]] double requests_used() { return 1 - requests_.fill_level(ctx_.now()); }
   // These three do not wait for the share. A lease that is not renewed for `ttl` ends, and its keys with it.
   rt::Task<std::optional<LeaseId>> create_lease(Duration ttl);
+  // `ended` is the store's own word.
   enum class LeaseRenewal { renewed, ended, failed /* no answer that tells */ };
+  // Counts against the share, but goes at once.
   rt::Task<LeaseRenewal> renew_lease(LeaseId lease, Duration timeout);
+  // Whatever the answer is, the lease ends by itself at the latest.
   rt::Task<void> end_lease(LeaseId lease);
   // `too_old`: the store no longer knows all changes after that revision.
   enum class WatchOutcome { events, too_old, failed };
+  // The page is there where the outcome is `events`.
   struct WatchResult {
     WatchOutcome outcome = WatchOutcome::failed;
     wire::StorePage page;  // the changes, removals included; none where nothing changed within the hold
--- a/src/service/store_limits.hpp
+++ b/src/service/store_limits.hpp
@@ -9,16 +9,21 @@
 
 namespace martenwall::service {
 
+// Used by the store client and by all that divide rows. A stage is never left for an earlier one.
 class StoreLimits {
  public:
+  // Begins with today's limits.
   explicit StoreLimits(const config::Settings& settings);
 
+  // Which of the limits this node keeps to.
   enum class Stage {
     present,  // today's limits
     ahead,    // sizes of the announced ones, today's rates
     lowered,  // the announced ones hold
   };
+  // The stage that was reached.
   [[nodiscard]] Stage stage() const { return stage_; }
+  // From now on rows may have any size, so the announced sizes are kept to.
   void all_nodes_read_any_size();
   // A transaction was called malformed. True where that taught anything new.
   bool refused_size();
@@ -26,8 +31,11 @@
   bool refused_rate(Time now);
 
   [[nodiscard]] std::size_t value_bytes() const;  // of a value, less what its signature and framing take
+  // Operations in one transaction.
   [[nodiscard]] std::size_t txn_ops() const;
+  // Requests per second, of all nodes together.
   [[nodiscard]] double rps() const;
+  // Written keys per second, of all nodes together.
   [[nodiscard]] double write_rps() const;
 
  private:
--- a/src/service/token_bucket.hpp
+++ b/src/service/token_bucket.hpp
@@ -6,9 +6,12 @@
 
 namespace martenwall::service {
 
+// Holds one second's worth of tokens at most, and at least one.
 class TokenBucket {
  public:
+  // Begins full.
   explicit TokenBucket(double per_second) : per_second_(per_second), tokens_(per_second) {}
+  // The rate from now on.
   void set(double per_second) { per_second_ = per_second; }
   // Time to wait before `cost` may be spent while `keep` stays in reserve; zero: spent.
   Duration take(double cost, double keep, Time now) {
