--- /dev/null
+++ b/src/service/cancellation_service.cpp
@@ -0,0 +1,62 @@
+#include "service/cancellation_service.hpp"
+
+#include "service/user_responses.hpp"
+#include "wire/user_codec.hpp"
+
+namespace martenwall::service {
+
+namespace {
+constexpr Duration forward_timeout = seconds(2);         // of a user's 5 s; the note is the other way
+constexpr Duration result_timeout = seconds(3);          // until the final state has to be stored
+constexpr Duration result_poll_interval = seconds(0.4);  // each look at it is a request to the store
+}  // namespace
+
+rt::Task<rt::HttpResponse> CancellationService::cancel(std::string id) {
+  if (!wire::valid_job_id(id)) co_return no_such_job();
+  const JobId job{id};
+  if (const auto finished = ctx_.finished_jobs.find(job)) co_return status_response(200, *finished);
+  if (ctx_.has_valid_lease()) co_return co_await cancel_as_leader(job);
+  if (ctx_.has_other_leader()) {
+    wire::PeerRequest request{wire::PeerVerb::cancel, std::move(id), "", {}};
+    const auto reply = co_await peers_.call_leader(std::move(request), forward_timeout);
+    if (reply && (reply->status == 200 || reply->status == 404)) co_return response_from(*reply);
+  }
+  co_return co_await cancel_by_note(job);
+}
+
+rt::Task<rt::HttpResponse> CancellationService::cancel_as_leader(JobId id) {
+  if (ctx_.scheduler->find_job(id) == nullptr) {
+    const JobLookup lookup = co_await reader_.read_status(id);
+    if (lookup.existence == Existence::absent) co_return no_such_job();
+    if (lookup.exists() && is_final(lookup.status.phase)) co_return status_response(200, lookup.status);
+  }
+  // Looked at after the wait: this node may not lead any more.
+  if (!ctx_.has_valid_lease() || !ctx_.scheduler->cancel(id, ctx_.now())) co_return retry_later("no leader");
+  ctx_.notify_pending_work();
+  ctx_.write_committed.notify();  // stop commands need no commit
+  const auto stored = co_await leader_store_.wait_final(id, result_timeout);
+  if (!stored) co_return retry_later("not stored yet");
+  co_return status_response(200, *stored);
+}
+
+// Where the leader cannot be reached, it is told by way of the store.
+rt::Task<rt::HttpResponse> CancellationService::cancel_by_note(JobId id) {
+  const Time deadline = ctx_.now() + result_timeout;
+  const JobRowStore::Read row = co_await job_rows_.read(id);
+  JobLookup final_state;
+  if (row.outcome == ReadOutcome::absent) final_state = co_await reader_.read_final(id);
+  if (final_state.existence == Existence::absent) co_return no_such_job();
+  if (final_state.exists()) co_return status_response(200, final_state.status);
+  if (row.outcome == ReadOutcome::found) {
+    const bool requested = co_await inbox_.request_cancellation(id);
+    if (!requested) co_return retry_later("no leader can be reached");
+  }
+  while (!final_state.exists() && ctx_.now() < deadline) {
+    co_await ctx_.loop.sleep(result_poll_interval);
+    final_state = co_await reader_.read_final(id);
+  }
+  if (!final_state.exists()) co_return retry_later("not stored yet");
+  co_return status_response(200, final_state.status);
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/cancellation_service.hpp
@@ -0,0 +1,40 @@
+// Cancellations: a user is told only what is stored.
+#pragma once
+#include <string>
+
+#include "runtime/http_server.hpp"
+#include "service/context.hpp"
+#include "service/job_reader.hpp"
+#include "service/job_row_store.hpp"
+#include "service/leader_inbox.hpp"
+#include "service/leader_store.hpp"
+#include "service/peer_service.hpp"
+
+namespace martenwall::service {
+
+// Cancels jobs as the leader, through the leader, or by a note in the leader's inbox. Answers 200 only once the job's
+// final state is in the store, so that no later leader can run it again.
+class CancellationService {
+ public:
+  CancellationService(Context& ctx, PeerService& peers, LeaderStore& leader_store, JobRowStore& job_rows,
+                      JobReader& reader, LeaderInbox& inbox)
+      : ctx_(ctx), peers_(peers), leader_store_(leader_store), job_rows_(job_rows), reader_(reader), inbox_(inbox) {}
+
+  // A user's POST /api/jobs/{id}/cancel at this node: 200 with the final state, 404, or 503.
+  rt::Task<rt::HttpResponse> cancel(std::string id);
+
+  // The same where this node leads, also for requests that other nodes forward.
+  rt::Task<rt::HttpResponse> cancel_as_leader(JobId id);
+
+ private:
+  rt::Task<rt::HttpResponse> cancel_by_note(JobId id);
+
+  Context& ctx_;
+  PeerService& peers_;
+  LeaderStore& leader_store_;
+  JobRowStore& job_rows_;
+  JobReader& reader_;
+  LeaderInbox& inbox_;
+};
+
+}  // namespace martenwall::service
--- a/src/service/configuration_changes.cpp
+++ b/src/service/configuration_changes.cpp
@@ -167,7 +167,7 @@
     const bool there = std::ranges::any_of(
         stated->items, [&](const wire::StoreItem& i) { return i.key == wire::node_format_version_key(peer.node); });
     wire::PeerRequest request{wire::PeerVerb::configuration, "", wire::encode_configuration_request(follow), {}};
-    const auto reply = co_await peers_.ask_node(peer.node, std::move(request), store_limit);
+    const auto reply = co_await peers_.call_node(peer.node, std::move(request), store_limit);
     if (there && reply && reply->status == 200) continue;
     out.why_not = "the first change needs the word of all nodes: " + peer.node + " does not answer, or cannot follow";
     co_return out;
--- a/src/service/configuration_command.cpp
+++ b/src/service/configuration_command.cpp
@@ -35,7 +35,7 @@
 
 rt::Task<void> ask(rt::Loop& loop, rt::Endpoint to, std::string frame, std::shared_ptr<Asked> asked) {
   const Time deadline = loop.now() + patience;
-  asked->reply = co_await ask_once(loop, std::move(to), std::move(frame), deadline);
+  asked->reply = co_await call_once(loop, std::move(to), std::move(frame), deadline);
   asked->over = true;
 }
 
--- /dev/null
+++ b/src/service/dependency_checker.cpp
@@ -0,0 +1,92 @@
+#include "service/dependency_checker.hpp"
+
+#include <algorithm>
+
+namespace martenwall::service {
+
+namespace {
+
+constexpr Duration compare_timeout = seconds(1);  // per transaction, of the 5 s that a user waits
+
+void add_keys(std::vector<std::string>& keys, const JobId& id) {
+  keys.push_back(wire::job_key(id, false));
+  keys.push_back(wire::job_key(id, true));
+  keys.push_back(wire::final_key(id));
+}
+
+bool is_active(const std::set<std::string>& existing_keys, const JobId& id) {
+  return existing_keys.contains(wire::job_key(id, false)) || existing_keys.contains(wire::job_key(id, true));
+}
+
+}  // namespace
+
+DependencyChecker::Partition DependencyChecker::partition(const JobSpec& spec, bool as_leader) const {
+  Partition parts;
+  for (const auto& id : spec.dependencies) {
+    const auto finished = ctx_.finished_jobs.find(id);
+    if (finished && finished->phase == JobPhase::done) continue;
+    const bool accepted = finished || (as_leader && ctx_.scheduler->find_job(id) != nullptr);
+    (accepted ? parts.open : parts.unlisted).push_back(id);
+  }
+  return parts;
+}
+
+rt::Task<DependencyCheck> DependencyChecker::check(JobSpec spec, bool as_leader) {
+  using Outcome = DependencyCheck::Outcome;
+  Partition parts = partition(spec, as_leader);
+  DependencyCheck result;
+  result.open_dependencies = std::move(parts.open);
+  std::vector<std::string> keys;
+  add_keys(keys, spec.id);
+  for (const auto& id : parts.unlisted) add_keys(keys, id);
+  const auto existing = co_await find_existing(std::move(keys));
+  if (!existing) co_return result;
+  if (is_active(*existing, spec.id) || existing->contains(wire::final_key(spec.id))) {
+    result.outcome = Outcome::already_stored;
+    co_return result;
+  }
+  for (const auto& id : parts.unlisted) {
+    auto progress = Progress::open;
+    if (!is_active(*existing, id)) progress = co_await read_progress(id);
+    if (progress == Progress::unknown) co_return result;
+    if (progress == Progress::never_accepted) {
+      result.outcome = Outcome::never_accepted;
+      co_return result;
+    }
+    if (progress == Progress::open) result.open_dependencies.push_back(id);
+  }
+  result.outcome = Outcome::known;
+  co_return result;
+}
+
+// Of a job that was found at none of its active keys. The keys of one job stand together in the comparison, but a
+// transaction may end between them: a job that moves from the first key to the last meanwhile is then found at neither.
+// So what is not there is asked for once more before it counts as never accepted.
+rt::Task<DependencyChecker::Progress> DependencyChecker::read_progress(JobId id) {
+  JobLookup end = co_await reader_.read_final(id);
+  if (end.existence == Existence::unknown) co_return Progress::unknown;
+  if (end.existence == Existence::absent) {
+    const JobRowStore::Read row = co_await job_rows_.read(id);
+    if (row.outcome == ReadOutcome::absent) end = co_await reader_.read_final(id);
+    if (row.outcome == ReadOutcome::failed || end.existence == Existence::unknown) co_return Progress::unknown;
+    if (row.outcome == ReadOutcome::absent && end.existence == Existence::absent) co_return Progress::never_accepted;
+  }
+  co_return end.exists() && end.status.phase == JobPhase::done ? Progress::done : Progress::open;
+}
+
+// Which of the keys exist; as many at a time as a transaction may name. Nothing where the store did not answer.
+rt::Task<std::optional<std::set<std::string>>> DependencyChecker::find_existing(std::vector<std::string> keys) {
+  std::set<std::string> all;
+  const std::size_t max_keys = max_compared_keys(ctx_.limits);
+  for (std::size_t i = 0; i < keys.size(); i += max_keys) {
+    const auto first = keys.begin() + static_cast<std::ptrdiff_t>(i);
+    const auto size = std::min(max_keys, keys.size() - i);
+    std::vector<std::string> chunk{first, first + static_cast<std::ptrdiff_t>(size)};
+    auto existing = co_await store_.find_existing(std::move(chunk), compare_timeout);
+    if (!existing) co_return std::nullopt;
+    all.merge(*existing);
+  }
+  co_return all;
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/dependency_checker.hpp
@@ -0,0 +1,55 @@
+// Whether the jobs that a new job depends on were accepted, and which of them are not done yet.
+#pragma once
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "service/context.hpp"
+#include "service/job_reader.hpp"
+#include "service/job_row_store.hpp"
+#include "service/store_client.hpp"
+
+namespace martenwall::service {
+
+// The result of a check; `open_dependencies` is meaningful for `known` only.
+struct DependencyCheck {
+  enum class Outcome {
+    known,           // all dependencies were accepted
+    already_stored,  // the job itself is in the store
+    never_accepted,  // one of the dependencies is not
+    unknown,         // the store did not answer
+  };
+  Outcome outcome = Outcome::unknown;
+  std::vector<JobId> open_dependencies;  // not known to be done
+};
+
+// Used by submissions before a dependent job is stored.
+class DependencyChecker {
+ public:
+  DependencyChecker(Context& ctx, StoreClient& store, JobRowStore& job_rows, JobReader& reader)
+      : ctx_(ctx), store_(store), job_rows_(job_rows), reader_(reader) {}
+
+  // `as_leader`: this node leads, so that the scheduler's memory counts for jobs that are not over. It reads the store
+  // for the rest, and may have lost the leadership when it returns.
+  rt::Task<DependencyCheck> check(JobSpec spec, bool as_leader);
+
+ private:
+  // Dependencies that are not done, by where they are known from.
+  struct Partition {
+    std::vector<JobId> open;      // accepted, by this node's memory
+    std::vector<JobId> unlisted;  // not in this node's memory: the store is asked
+  };
+  enum class Progress { done, open, never_accepted, unknown };
+
+  [[nodiscard]] Partition partition(const JobSpec& spec, bool as_leader) const;
+  rt::Task<Progress> read_progress(JobId id);
+  rt::Task<std::optional<std::set<std::string>>> find_existing(std::vector<std::string> keys);
+
+  Context& ctx_;
+  StoreClient& store_;
+  JobRowStore& job_rows_;
+  JobReader& reader_;
+};
+
+}  // namespace martenwall::service
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -148,7 +148,7 @@
   wire::PeerRequest request{wire::PeerVerb::heartbeats, ctx_.settings.node, wire::encode_batch(message), {}};
   std::string leader = link_.leader();
   load_sent_at_ = ctx_.now();
-  const auto reply = co_await peers_.ask_node(leader, std::move(request), answer_limit);
+  const auto reply = co_await peers_.call_node(leader, std::move(request), answer_limit);
   --in_flight_;
   const bool answered = take_answers(batch, reply);
   // Of a leader that is none any more, its silence says nothing.
@@ -223,7 +223,7 @@
   std::string leader = link_.leader();
   link_.probe_sent(ctx_.now());
   wire::PeerRequest request{wire::PeerVerb::ping, "", "", {}};
-  const auto reply = co_await peers_.ask_node(leader, std::move(request), probe_limit);
+  const auto reply = co_await peers_.call_node(leader, std::move(request), probe_limit);
   probing_ = false;
   if (leader != link_.leader()) co_return;
   auto answer = relay::ProbeResult::none;
--- /dev/null
+++ b/src/service/job_reader.cpp
@@ -0,0 +1,90 @@
+#include "service/job_reader.hpp"
+
+#include <set>
+#include <vector>
+
+namespace martenwall::service {
+
+namespace {
+constexpr Duration final_read_timeout = seconds(0.7);    // two of them, or one after a row, fit into a lookup
+constexpr Duration release_read_timeout = seconds(0.5);  // before the reads of the dependencies
+constexpr int max_dependency_reads = 12;                 // of a poll: more would not end within its time
+}  // namespace
+
+std::optional<JobLookup> JobReader::from_memory(const JobId& id) const {
+  if (const auto finished = ctx_.finished_jobs.find(id)) return JobLookup{Existence::exists, *finished};
+  if (!ctx_.has_valid_lease()) return std::nullopt;
+  if (const auto status = ctx_.scheduler->status(id)) return JobLookup{Existence::exists, *status};
+  return std::nullopt;
+}
+
+rt::Task<JobLookup> JobReader::read_status(JobId id) {
+  const auto term = ctx_.term;
+  const Time began = ctx_.loop.refresh();
+  // In this order: a job moves from one of its first keys to the last and never back.
+  JobRowStore::Read active = co_await job_rows_.read(id);
+  if (active.outcome == ReadOutcome::failed) co_return JobLookup{};
+  // What was read under an earlier leadership, or before the job's end, may be out of date by now.
+  if (const auto known = from_memory(id)) co_return *known;
+  if (active.outcome == ReadOutcome::absent) co_return co_await read_final(id);
+  if (ctx_.term != term || ctx_.loop.refresh() - began > lookup_timeout) co_return JobLookup{};
+  if (!active.job) co_return JobLookup{};
+  // Written by this leader while it was busy, or by another node: either way it is to run.
+  Job job = *active.job;
+  if (ctx_.has_valid_lease()) {
+    leader_store_.adopt_job(term, std::move(*active.job), active.version);
+    if (const auto known = from_memory(id)) co_return *known;
+  }
+  co_return co_await confirm_active(std::move(job), term, began);
+}
+
+// The state of a job whose row stands in the store. `term` and `began` are of the read of that row.
+rt::Task<JobLookup> JobReader::confirm_active(Job job, std::uint64_t term, Time began) {
+  const JobId id = job.spec.id;
+  if (job.dependent) {
+    const bool active = co_await may_call_active(std::move(job));
+    if (const auto known = from_memory(id)) co_return *known;
+    if (!active || ctx_.term != term || ctx_.loop.refresh() - began > lookup_timeout) co_return JobLookup{};
+  }
+  co_return JobLookup{Existence::exists, {id, JobPhase::pending, 0, 0}};
+}
+
+// False unless reads of the store show that nothing the job needs is cancelled. Without the leader's word this is not
+// known: a cancellation takes all jobs with it that need the cancelled one, and may not have reached this one yet.
+rt::Task<bool> JobReader::may_call_active(Job job) {
+  const ReadResult released = co_await store_.get(wire::tasks_key(job.spec.id, 0), release_read_timeout);
+  if (released.outcome != ReadOutcome::absent) co_return released.outcome == ReadOutcome::found;
+  std::vector<JobId> unchecked = job.spec.dependencies;
+  std::set<JobId> checked;
+  for (int reads = 0; !unchecked.empty(); reads += 2) {
+    const JobId id = unchecked.back();
+    unchecked.pop_back();
+    if (!checked.insert(id).second) continue;
+    const auto finished = ctx_.finished_jobs.find(id);
+    if (finished && finished->phase == JobPhase::done) continue;
+    if (finished || reads >= max_dependency_reads) co_return false;
+    const JobRowStore::Read row = co_await job_rows_.read_at(id, true);
+    if (row.outcome == ReadOutcome::failed || (row.outcome == ReadOutcome::found && !row.job)) co_return false;
+    if (row.outcome == ReadOutcome::found) {
+      const auto& further = row.job->spec.dependencies;
+      unchecked.insert(unchecked.end(), further.begin(), further.end());
+      continue;
+    }
+    const JobLookup end = co_await read_final(id);
+    if (end.existence == Existence::unknown || (end.exists() && end.status.phase != JobPhase::done)) co_return false;
+  }
+  co_return true;
+}
+
+rt::Task<JobLookup> JobReader::read_final(JobId id) {
+  const ReadResult row = co_await store_.get(wire::final_key(id), final_read_timeout);
+  if (row.outcome == ReadOutcome::failed) co_return JobLookup{};
+  if (row.outcome == ReadOutcome::absent) co_return JobLookup{Existence::absent, {}};
+  const auto final_job = wire::decode_final(id, row.item.value);
+  if (!final_job) co_return JobLookup{};
+  const JobStatus status{id, final_job->phase, final_job->done, 0};
+  ctx_.finished_jobs.add(status);
+  co_return JobLookup{Existence::exists, status};
+}
+
+}  // namespace martenwall::service
--- a/src/service/node.cpp
+++ b/src/service/node.cpp
@@ -46,9 +46,16 @@
       configuration_(ctx_, store_),
       leader_store_(ctx_, store_, job_rows_, format_versions_, configuration_),
       workers_(ctx_, leader_store_),
-      cloud_(ctx_, store_),
-      users_(ctx_, store_, leader_store_, job_rows_),
       peers_(ctx_, [this](wire::PeerRequest r) { return route_peer(std::move(r)); }),
+      cloud_(ctx_, store_, peers_),
+      job_reader_(ctx_, store_, leader_store_, job_rows_),
+      leader_inbox_(ctx_, store_),
+      dependencies_(ctx_, store_, job_rows_, job_reader_),
+      submissions_(ctx_, {peers_, leader_store_, job_rows_, job_reader_, dependencies_, leader_inbox_}),
+      status_queries_(ctx_, store_, peers_, job_reader_, leader_inbox_),
+      cancellations_(ctx_, peers_, leader_store_, job_rows_, job_reader_, leader_inbox_),
+      peer_requests_(ctx_, job_reader_, submissions_, cancellations_),
+      health_(ctx_, peers_),
       changes_(ctx_, store_, peers_, configuration_),
       reach_(ctx_, store_, leader_store_, peers_),
       relay_(ctx_, peers_, workers_),
@@ -57,15 +64,14 @@
       metrics_(ctx_, store_, [this] {
         return MetricsService::Connections{server_.open(), server_.bulk(), worker_room_};
       }) {
-  users_.set_peers(peers_);
-  cloud_.set_peers(peers_);
   relay_.count_by([this] { return relay::NodeLoad{server_.bulk(), worker_room_}; });
 }
 
 void Node::start() {
   ctx_.loop.on_stall([this](const rt::Loop::Stall& s) {
-    ctx_.log->info("this node stood still for {:.1f} s ({})", to_seconds(s.length), name_of(ctx_.leadership.state()));
+    ctx_.log->info("process stalled seconds={:.1f} state={}", to_seconds(s.length), name_of(ctx_.leadership.state()));
   });
+  // Detached: they run as long as the process, whose loop never returns; the node owns what they work on.
   rt::spawn(format_versions_.run());
   rt::spawn(configuration_.run());
   rt::spawn(changes_.run());
@@ -74,15 +80,15 @@
   rt::spawn(workers_.send_loop());
   rt::spawn(cloud_.run_types());
   rt::spawn(cloud_.run_list());
-  rt::spawn(cloud_.run_fleet());
+  rt::spawn(cloud_.run_scaling());
   rt::spawn(peers_.serve());
-  rt::spawn(peers_.watch_others());
-  rt::spawn(users_.run_status_queries());
+  rt::spawn(peers_.run_pings());
+  rt::spawn(status_queries_.run());
   rt::spawn(reach_.run());
   rt::spawn(relay_.run());
   rt::spawn(metrics_.run());
   rt::spawn(server_.serve());
-  ctx_.log->info("{} serves on {}, grace {} s", ctx_.settings.node, ctx_.settings.listen,
+  ctx_.log->info("node started node={} listen={} grace_s={}", ctx_.settings.node, ctx_.settings.listen,
                  to_seconds(ctx_.leadership.grace()));
 }
 
@@ -106,11 +112,11 @@
   }
   if (path == "/up") {
     if (request.method != "GET") co_return plain(405);
-    co_return plain(users_.healthy() ? 200 : 503);
+    co_return plain(health_.healthy() ? 200 : 503);
   }
   if (path == jobs_path) {
     if (request.method != "POST") co_return plain(405);
-    co_return co_await users_.submit(std::move(request.body));
+    co_return co_await submissions_.submit(std::move(request.body));
   }
   if (path.starts_with("/api/jobs/")) {
     std::string rest = path.substr(jobs_path.size() + 1);
@@ -124,7 +130,7 @@
   if (request.verb == wire::PeerVerb::heartbeats) co_return co_await relay_.on_heartbeats(std::move(request));
   if (request.verb == wire::PeerVerb::configuration) co_return co_await changes_.on_peer_request(std::move(request));
   if (request.verb == wire::PeerVerb::cloud) co_return co_await cloud_.on_peer_request(std::move(request));
-  co_return co_await users_.on_peer_request(std::move(request));
+  co_return co_await peer_requests_.handle(std::move(request));
 }
 
 rt::Task<rt::HttpResponse> Node::route_job(const std::string& method, std::string rest) {
@@ -132,10 +138,10 @@
   if (rest.ends_with(suffix)) {
     if (method != "POST") co_return plain(405);
     rest.resize(rest.size() - suffix.size());
-    co_return co_await users_.cancel(std::move(rest));
+    co_return co_await cancellations_.cancel(std::move(rest));
   }
   if (method != "GET") co_return plain(405);
-  co_return co_await users_.status(std::move(rest));
+  co_return co_await status_queries_.status(std::move(rest));
 }
 
 }  // namespace martenwall::service
--- a/src/service/node.hpp
+++ b/src/service/node.hpp
@@ -2,30 +2,44 @@
 #pragma once
 #include "core/leadership/retry_after.hpp"
 #include "runtime/http_server.hpp"
+#include "service/cancellation_service.hpp"
 #include "service/cloud_service.hpp"
 #include "service/configuration_changes.hpp"
 #include "service/configuration_service.hpp"
 #include "service/context.hpp"
+#include "service/dependency_checker.hpp"
 #include "service/format_version_service.hpp"
+#include "service/health_check.hpp"
 #include "service/heartbeat_relay.hpp"
+#include "service/job_reader.hpp"
 #include "service/job_row_store.hpp"
+#include "service/leader_inbox.hpp"
 #include "service/leader_store.hpp"
 #include "service/metrics_service.hpp"
+#include "service/peer_request_handler.hpp"
 #include "service/peer_service.hpp"
 #include "service/reachability_service.hpp"
+#include "service/status_query_service.hpp"
 #include "service/store_client.hpp"
-#include "service/user_service.hpp"
+#include "service/submission_service.hpp"
 #include "service/worker_service.hpp"
 
 namespace martenwall::service {
 
+// Constructs the services, each after those that it works with, and connects them to the two listeners. Everything runs
+// on the thread of the given loop.
 class Node {
  public:
+  // The settings and the policy must have passed config::check. Throws where a listener's address cannot be bound.
   Node(rt::Loop& loop, config::Settings settings, Policy policy, std::shared_ptr<spdlog::logger> log);
-  void start();  // its services, on the loop
+  // Starts the services; returns at once. Called once; the loop runs them then.
+  void start();
+  // Starts the services and runs the loop.
   [[noreturn]] void run();
+  // The ports that it listens on, also where the settings leave the choice to the system.
   [[nodiscard]] std::uint16_t users_port() const { return server_.port(); }
   [[nodiscard]] std::uint16_t peers_port() const { return peers_.port(); }
+  // For tests and the scale run, which look at the node's state.
   [[nodiscard]] const Context& context() const { return ctx_; }
 
  private:
@@ -43,9 +57,16 @@
   ConfigurationService configuration_;
   LeaderStore leader_store_;
   WorkerService workers_;
+  PeerService peers_;  // its handler refers to services below, and is not called before `start`
   CloudService cloud_;
-  UserService users_;
-  PeerService peers_;
+  JobReader job_reader_;
+  LeaderInbox leader_inbox_;
+  DependencyChecker dependencies_;
+  SubmissionService submissions_;
+  StatusQueryService status_queries_;
+  CancellationService cancellations_;
+  PeerRequestHandler peer_requests_;
+  HealthCheck health_;
   ConfigurationChanges changes_;
   ReachabilityService reach_;
   HeartbeatRelay relay_;
--- a/src/service/peer_link.cpp
+++ b/src/service/peer_link.cpp
@@ -20,7 +20,7 @@
   }
 }
 
-rt::Task<std::optional<wire::PeerReply>> ask_once(rt::Loop& loop, rt::Endpoint to, std::string frame, Time deadline) {
+rt::Task<std::optional<wire::PeerReply>> call_once(rt::Loop& loop, rt::Endpoint to, std::string frame, Time deadline) {
   auto socket = co_await rt::Socket::connect(loop, std::move(to), deadline);
   if (!socket) co_return std::nullopt;
   const bool sent = co_await socket->write_all(frame, deadline);
--- a/src/service/peer_link.hpp
+++ b/src/service/peer_link.hpp
@@ -12,6 +12,6 @@
 rt::Task<std::optional<std::string>> read_frame(rt::Socket& socket, std::string& spare, Time deadline);
 
 // One request over a connection of its own.
-rt::Task<std::optional<wire::PeerReply>> ask_once(rt::Loop& loop, rt::Endpoint to, std::string frame, Time deadline);
+rt::Task<std::optional<wire::PeerReply>> call_once(rt::Loop& loop, rt::Endpoint to, std::string frame, Time deadline);
 
 }  // namespace martenwall::service
--- /dev/null
+++ b/src/service/peer_request_handler.hpp
@@ -0,0 +1,33 @@
+// The leader's side of users' requests that other nodes forward.
+#pragma once
+#include "service/cancellation_service.hpp"
+#include "service/context.hpp"
+#include "service/job_reader.hpp"
+#include "service/submission_service.hpp"
+#include "wire/peer_codec.hpp"
+
+namespace martenwall::service {
+
+// Answers other nodes' pings, status queries, submissions and cancellations. All but pings are answered with 421 by a
+// node that does not lead; the asking node then turns to the store.
+class PeerRequestHandler {
+ public:
+  PeerRequestHandler(Context& ctx, JobReader& reader, SubmissionService& submissions,
+                     CancellationService& cancellations)
+      : ctx_(ctx), reader_(reader), submissions_(submissions), cancellations_(cancellations) {}
+
+  // Called by Node for the verbs that no other service takes.
+  rt::Task<wire::PeerReply> handle(wire::PeerRequest request);
+
+ private:
+  [[nodiscard]] wire::PeerReply answer_ping() const;
+  [[nodiscard]] wire::PeerReply answer_statuses(const wire::PeerRequest& request) const;
+  rt::Task<wire::PeerReply> submit(wire::PeerRequest request);
+
+  Context& ctx_;
+  JobReader& reader_;
+  SubmissionService& submissions_;
+  CancellationService& cancellations_;
+};
+
+}  // namespace martenwall::service
--- a/src/service/peer_service.cpp
+++ b/src/service/peer_service.cpp
@@ -7,13 +7,15 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t max_connections = 64;
-constexpr std::size_t max_idle = 8;
-constexpr Duration idle_limit = seconds(60);
-constexpr Duration link_pause = seconds(1);
-constexpr Duration ping_every = seconds(0.7);
-constexpr Duration ping_limit = seconds(0.6);
-constexpr Duration ping_valid = seconds(3);
+constexpr std::size_t max_connections = 64;      // of other nodes: some for each, beside the users' and workers'
+constexpr std::size_t max_idle_connections = 8;  // to each other node
+constexpr Duration idle_limit = seconds(60);     // after which the calling side has dropped a connection
+constexpr Duration idle_margin = seconds(10);    // so that the serving side does not close under a request
+constexpr Duration reply_write_timeout = seconds(5);
+constexpr Duration leader_retry_delay = seconds(1);  // users' requests go to the store meanwhile
+constexpr Duration ping_interval = seconds(0.7);
+constexpr Duration ping_timeout = seconds(0.6);  // ends before the next ping
+constexpr Duration ping_validity = seconds(3);
 }  // namespace
 
 PeerService::PeerService(Context& ctx, Handler handler)
@@ -22,57 +24,76 @@
 rt::Task<void> PeerService::serve() {
   for (;;) {
     auto socket = co_await listener_.accept();
-    if (!socket || open_ >= max_connections) continue;
-    rt::spawn(connection(std::move(*socket)));
+    if (!socket || open_connections_ >= max_connections) continue;
+    // Detached: owns its socket, ends when the other side closes it or is silent for too long.
+    rt::spawn(serve_connection(std::move(*socket)));
   }
 }
 
-rt::Task<void> PeerService::connection(rt::Socket socket) {
-  ++open_;
-  std::string spare;
+rt::Task<void> PeerService::serve_connection(rt::Socket socket) {
+  ++open_connections_;
+  std::string unread;
   for (;;) {
-    const Time deadline = ctx_.now() + idle_limit + seconds(10);
-    const auto payload = co_await read_frame(socket, spare, deadline);
+    const Time deadline = ctx_.now() + idle_limit + idle_margin;
+    const auto payload = co_await read_frame(socket, unread, deadline);
     auto request = payload ? wire::decode_request(*payload) : std::nullopt;
     if (!request) break;
     wire::PeerReply reply = co_await handler_(std::move(*request));
     const std::string frame = wire::encode_frame(reply);
-    const Time write_by = ctx_.now() + seconds(5);
-    const bool sent = co_await socket.write_all(frame, write_by);
+    const Time write_deadline = ctx_.now() + reply_write_timeout;
+    const bool sent = co_await socket.write_all(frame, write_deadline);
     if (!sent) break;
   }
-  --open_;
+  --open_connections_;
 }
 
-rt::Task<std::optional<wire::PeerReply>> PeerService::ask(std::string addr, std::string frame, Time deadline) {
-  for (bool kept = true;;) {
-    std::optional<rt::Socket> socket;
-    auto& idle = idle_[addr];
-    if (kept && !idle.empty()) {
-      socket.emplace(std::move(idle.back()));
-      idle.pop_back();
-    } else {
-      kept = false;
-      auto endpoint = rt::Endpoint::parse(addr);
-      if (!endpoint) co_return std::nullopt;
-      auto fresh = co_await rt::Socket::connect(ctx_.loop, std::move(*endpoint), deadline);
-      if (!fresh) co_return std::nullopt;
-      socket.emplace(std::move(*fresh));
-    }
-    std::string spare;
-    const bool sent = co_await socket->write_all(frame, deadline);
-    std::optional<std::string> payload;
-    if (sent) payload = co_await read_frame(*socket, spare, deadline);
-    auto reply = payload ? wire::decode_reply(*payload) : std::nullopt;
+std::optional<rt::Socket> PeerService::take_idle(const std::string& addr) {
+  auto& idle = idle_connections_[addr];
+  if (idle.empty()) return std::nullopt;
+  std::optional<rt::Socket> socket{std::move(idle.back())};
+  idle.pop_back();
+  return socket;
+}
+
+rt::Task<std::optional<rt::Socket>> PeerService::connect(std::string addr, Time deadline) {
+  auto endpoint = rt::Endpoint::parse(addr);
+  if (!endpoint) co_return std::nullopt;
+  co_return co_await rt::Socket::connect(ctx_.loop, std::move(*endpoint), deadline);
+}
+
+rt::Task<std::optional<wire::PeerReply>> PeerService::exchange(rt::Socket& socket, const std::string& frame,
+                                                               Time deadline) {
+  const bool sent = co_await socket.write_all(frame, deadline);
+  if (!sent) co_return std::nullopt;
+  std::string unread;
+  const auto payload = co_await read_frame(socket, unread, deadline);
+  if (!payload) co_return std::nullopt;
+  co_return wire::decode_reply(*payload);
+}
+
+rt::Task<std::optional<wire::PeerReply>> PeerService::call(std::string addr, std::string frame, Time deadline) {
+  std::optional<rt::Socket> socket = take_idle(addr);
+  if (socket) {
+    auto reply = co_await exchange(*socket, frame, deadline);
     if (reply) {
-      auto& list = idle_[addr];
-      if (list.size() < max_idle) list.push_back(std::move(*socket));
+      keep_idle(addr, std::move(*socket));
       co_return reply;
     }
-    // A kept connection may have died meanwhile; every request of this link can be repeated.
-    if (!kept || ctx_.now() >= deadline) co_return std::nullopt;
-    idle_[addr].clear();
+    // A kept connection may have died meanwhile, and the others with it; every request of this link can be repeated.
+    if (ctx_.now() >= deadline) co_return std::nullopt;
+    socket.reset();
+    idle_connections_[addr].clear();
   }
+  socket = co_await connect(addr, deadline);
+  if (!socket) co_return std::nullopt;
+  auto reply = co_await exchange(*socket, frame, deadline);
+  if (reply) keep_idle(addr, std::move(*socket));
+  co_return reply;
+}
+
+void PeerService::keep_idle(const std::string& addr, rt::Socket socket) {
+  auto& idle = idle_connections_[addr];
+  if (idle.size() < max_idle_connections) idle.push_back(std::move(socket));
 }
 
 rt::Task<void> PeerService::ping(std::size_t peer) {
@@ -81,66 +102,66 @@
   const wire::PeerRequest request{wire::PeerVerb::ping, "", "", {}};
   std::string addr = ctx_.settings.peers[peer].addr;
   std::string frame = wire::encode_frame(request);
-  const Time deadline = ctx_.now() + ping_limit;
-  const auto reply = co_await ask(std::move(addr), std::move(frame), deadline);
-  if (reply) seen_[peer] = {ctx_.now(), reply->status == 200};
+  const Time deadline = ctx_.now() + ping_timeout;
+  const auto reply = co_await call(std::move(addr), std::move(frame), deadline);
+  if (reply) ping_results_[peer] = {ctx_.now(), reply->status == 200};
 }
 
-rt::Task<void> PeerService::watch_others() {
-  seen_.resize(ctx_.settings.peers.size());
+rt::Task<void> PeerService::run_pings() {
+  ping_results_.resize(ctx_.settings.peers.size());
   for (;;) {
-    co_await ctx_.loop.sleep(ping_every);
+    co_await ctx_.loop.sleep(ping_interval);
     if (ctx_.reaches_store()) continue;
-    for (std::size_t i = 0; i < seen_.size(); ++i) rt::spawn(ping(i));
+    for (std::size_t i = 0; i < ping_results_.size(); ++i) rt::spawn(ping(i));  // detached: ends at its timeout
   }
 }
 
-PeerService::Others PeerService::others() const {
-  auto out = Others::unreachable;
-  for (const auto& s : seen_) {
-    if (ctx_.now() - s.at > ping_valid) continue;
-    if (s.serving) return Others::serving;
-    out = Others::equally_cut_off;
+PeerService::Availability PeerService::availability() const {
+  auto out = Availability::unreachable;
+  for (const auto& result : ping_results_) {
+    if (ctx_.now() - result.at > ping_validity) continue;
+    if (result.reaches_store) return Availability::serving;
+    out = Availability::equally_cut_off;
   }
   return out;
 }
 
-rt::Task<std::optional<wire::PeerReply>> PeerService::ask_others(wire::PeerRequest request, Duration timeout) {
-  const std::size_t n = ctx_.settings.peers.size();
-  for (std::size_t i = 0; i < n; ++i) {
-    const std::size_t peer = (helpful_ + i) % n;
+rt::Task<std::optional<wire::PeerReply>> PeerService::call_any_other(wire::PeerRequest request, Duration timeout) {
+  const std::size_t peers = ctx_.settings.peers.size();
+  for (std::size_t i = 0; i < peers; ++i) {
+    const std::size_t peer = (last_useful_peer_ + i) % peers;
     std::string addr = ctx_.settings.peers[peer].addr;
     std::string frame = wire::encode_frame(request);
     const Time deadline = ctx_.now() + timeout;
-    auto reply = co_await ask(std::move(addr), std::move(frame), deadline);
-    if (!reply || reply->status == 0 || reply->status == 421) continue;
-    helpful_ = peer;
+    auto reply = co_await call(std::move(addr), std::move(frame), deadline);
+    if (!reply || reply->status == wire::status_no_answer || reply->status == 421) continue;
+    last_useful_peer_ = peer;
     co_return reply;
   }
   co_return std::nullopt;
 }
 
-rt::Task<std::optional<wire::PeerReply>> PeerService::ask_node(std::string node, wire::PeerRequest request,
-                                                               Duration timeout) {
+rt::Task<std::optional<wire::PeerReply>> PeerService::call_node(std::string node, wire::PeerRequest request,
+                                                                Duration timeout) {
   const auto peer = std::ranges::find(ctx_.settings.peers, node, &config::Peer::node);
   if (peer == ctx_.settings.peers.end()) co_return std::nullopt;
   const Time deadline = ctx_.now() + timeout;
   std::string frame = wire::encode_frame(request);
-  co_return co_await ask(peer->addr, std::move(frame), deadline);
+  co_return co_await call(peer->addr, std::move(frame), deadline);
 }
 
-rt::Task<std::optional<wire::PeerReply>> PeerService::ask_leader(wire::PeerRequest request, Duration timeout) {
+rt::Task<std::optional<wire::PeerReply>> PeerService::call_leader(wire::PeerRequest request, Duration timeout) {
   const auto peer = std::ranges::find(ctx_.settings.peers, ctx_.leader, &config::Peer::node);
   if (peer == ctx_.settings.peers.end()) co_return std::nullopt;
   if (leader_unreachable()) co_return std::nullopt;
   const std::string leader = ctx_.leader;
   const Time deadline = ctx_.now() + timeout;
-  auto reply = co_await ask(peer->addr, wire::encode_frame(request), deadline);
+  auto reply = co_await call(peer->addr, wire::encode_frame(request), deadline);
   if (!reply) {
     // Refused or silent: for a moment the store is asked instead, so that users need not wait for it each time.
-    link_down_to_ = leader;
+    unreachable_leader_ = leader;
     ctx_.leader_link_failed_at = ctx_.now();
-    link_down_until_ = ctx_.now() + link_pause;
+    leader_retry_at_ = ctx_.now() + leader_retry_delay;
   }
   if (reply && reply->status == 421) co_return std::nullopt;
   if (reply) ctx_.leader_answered_at = ctx_.now();
--- a/src/service/reachability_service.cpp
+++ b/src/service/reachability_service.cpp
@@ -35,7 +35,7 @@
 // Over the peer link, or by a note where the leader cannot be reached.
 rt::Task<void> ReachabilityService::notify_leader_of_stranded(std::size_t stranded) {
   wire::PeerRequest request{wire::PeerVerb::stranded, ctx_.settings.node, std::to_string(stranded), {}};
-  const auto reply = co_await peers_.ask_leader(std::move(request), tell_limit);
+  const auto reply = co_await peers_.call_leader(std::move(request), tell_limit);
   if (reply || ctx_.now() < next_note_) co_return;
   next_note_ = ctx_.now() + note_every;
   std::vector<wire::StoreOp> then;
--- /dev/null
+++ b/src/service/status_query_service.cpp
@@ -0,0 +1,165 @@
+#include "service/status_query_service.hpp"
+
+#include <algorithm>
+
+#include "service/user_responses.hpp"
+#include "wire/user_codec.hpp"
+
+namespace martenwall::service {
+
+namespace {
+constexpr Duration batching_delay = seconds(0.015);  // polls wait so long for others to go with them
+constexpr Duration store_batching_delay =
+    seconds(0.2);                                   // the same without a leader: the store's request rate is scarce
+constexpr Duration leader_timeout = seconds(0.6);   // leaves time of the lookup's 1.5 s for the store
+constexpr Duration compare_timeout = seconds(0.6);  // of the transaction that asks for many jobs' keys
+constexpr Duration stall_tolerance = seconds(0.2);  // a wait that ends later than this was a stall of the process
+constexpr Duration idle_check = seconds(0.5);       // `run` looks at the queue at least so often
+constexpr std::size_t max_batches_in_flight = 4;
+constexpr std::size_t max_queued = 2000;   // more could not be answered within a user's wait
+constexpr std::size_t keys_per_query = 3;  // active, placed, final
+}  // namespace
+
+rt::Task<rt::HttpResponse> StatusQueryService::status(std::string id) {
+  if (!wire::valid_job_id(id)) co_return no_such_job();
+  const JobId job{std::move(id)};
+  if (const auto known = reader_.from_memory(job)) co_return status_response(200, known->status);
+  const JobLookup lookup = co_await query(job);
+  if (lookup.existence == Existence::absent) co_return no_such_job();
+  if (lookup.existence == Existence::unknown) co_return retry_later("the job's state cannot be read now");
+  co_return status_response(200, lookup.status);
+}
+
+rt::Task<JobLookup> StatusQueryService::query(JobId id) {
+  const auto question = enqueue(id);
+  if (question == nullptr) co_return JobLookup{};
+  const Time deadline = ctx_.now() + lookup_timeout;
+  while (!question->lookup && ctx_.now() < deadline) co_await question->answered.wait(deadline);
+  // Meanwhile this node may have come to know the job's end: nothing older may be told then.
+  if (const auto known = reader_.from_memory(id)) co_return *known;
+  // Nor what was found before this process stood still: the job may have ended, and its user been told, meanwhile.
+  if (ctx_.loop.refresh() > deadline + stall_tolerance) co_return JobLookup{};
+  co_return question->lookup.value_or(JobLookup{});
+}
+
+// One question per job waits to be sent, however many polls ask for it. One that was sent already is not shared: its
+// answer may be older than this poll, whose user may have been told of the job's end in between. Null where too many
+// wait.
+std::shared_ptr<StatusQueryService::StatusQuery> StatusQueryService::enqueue(const JobId& id) {
+  if (const auto queued = queued_by_job_.find(id); queued != queued_by_job_.end()) return queued->second;
+  if (queue_.size() >= max_queued) return nullptr;
+  auto question = std::make_shared<StatusQuery>(ctx_.loop, id);
+  queued_by_job_.emplace(id, question);
+  queue_.push_back(question);
+  queue_changed_.notify();
+  return question;
+}
+
+void StatusQueryService::resolve(StatusQuery& query, JobLookup lookup) {
+  if (lookup.exists()) ctx_.finished_jobs.add(lookup.status);
+  query.lookup = std::move(lookup);
+  query.answered.notify();
+}
+
+rt::Task<void> StatusQueryService::run() {
+  for (;;) {
+    if (queue_.empty() || batches_in_flight_ >= max_batches_in_flight) {
+      const Time deadline = ctx_.now() + idle_check;
+      co_await queue_changed_.wait(deadline);
+      continue;
+    }
+    co_await ctx_.loop.sleep(peers_.leader_unreachable() ? store_batching_delay : batching_delay);
+    ++batches_in_flight_;
+    rt::spawn(answer_batch(take_batch()));  // detached: owns its queries, ends by itself as each of its reads times out
+  }
+}
+
+StatusQueryService::StatusQueries StatusQueryService::take_batch() {
+  const auto size = std::min(queue_.size(), wire::max_peer_jobs);
+  const auto end = queue_.begin() + static_cast<std::ptrdiff_t>(size);
+  StatusQueries batch{queue_.begin(), end};
+  queue_.erase(queue_.begin(), end);
+  for (const auto& query : batch) queued_by_job_.erase(query->id);
+  return batch;
+}
+
+rt::Task<void> StatusQueryService::answer_batch(StatusQueries batch) {
+  if (!ctx_.has_valid_lease() && ctx_.has_other_leader()) batch = co_await answer_from_leader(std::move(batch));
+  const std::size_t chunk_size = std::max<std::size_t>(1, max_compared_keys(ctx_.limits) / keys_per_query - 1);
+  for (std::size_t i = 0; i < batch.size(); i += chunk_size) {
+    const auto first = batch.begin() + static_cast<std::ptrdiff_t>(i);
+    const auto size = std::min(chunk_size, batch.size() - i);
+    StatusQueries chunk{first, first + static_cast<std::ptrdiff_t>(size)};
+    co_await answer_from_store(std::move(chunk));
+  }
+  --batches_in_flight_;
+  queue_changed_.notify();
+}
+
+// Returns the queries that the leader did not answer.
+rt::Task<StatusQueryService::StatusQueries> StatusQueryService::answer_from_leader(StatusQueries batch) {
+  wire::PeerRequest request{wire::PeerVerb::statuses, "", "", {}};
+  for (const auto& query : batch) request.jobs.push_back(query->id.value());
+  const auto reply = co_await peers_.call_leader(std::move(request), leader_timeout);
+  if (!reply || reply->statuses.size() != batch.size()) co_return batch;
+  auto reasons = wire::parse_reasons(reply->body);
+  StatusQueries unanswered;
+  for (std::size_t i = 0; i < batch.size(); ++i) {
+    const auto& status = reply->statuses[i];
+    StatusQuery& query = *batch[i];
+    query.unknown_to_leader = !status.known;
+    if (status.known) {
+      const auto phase = static_cast<JobPhase>(status.phase);
+      resolve(query, {Existence::exists, {query.id, phase, status.done, status.running, reasons[query.id]}});
+    } else {
+      unanswered.push_back(batch[i]);
+    }
+  }
+  co_return unanswered;
+}
+
+// The key that exists once a task of the job was placed.
+std::string StatusQueryService::placement_key(const JobId& id) const {
+  return ctx_.format_version >= wire::current_format_version ? wire::tasks_key(id, 0) : wire::v1_tasks_key(id, 0);
+}
+
+// One transaction that only compares tells which of the jobs are active, placed, or over. A dependent job is looked up
+// by itself: its dependencies must be looked at too.
+rt::Task<void> StatusQueryService::answer_from_store(StatusQueries batch) {
+  const auto term = ctx_.term;
+  std::vector<std::string> keys;
+  for (const auto& query : batch) {
+    keys.push_back(wire::job_key(query->id));
+    keys.push_back(wire::final_key(query->id));
+    keys.push_back(placement_key(query->id));
+  }
+  const auto existing_keys = co_await store_.find_existing(std::move(keys), compare_timeout);
+  for (const auto& query : batch) {
+    if (query->lookup) continue;
+    co_await answer_one_from_store(*query, existing_keys, term);
+    const bool active = query->lookup->exists() && !is_final(query->lookup->status.phase);
+    if (active && query->unknown_to_leader) inbox_.announce_job(query->id);
+  }
+}
+
+// `existing_keys` were read under the leadership `term`, and mean nothing under a later one.
+rt::Task<void> StatusQueryService::answer_one_from_store(StatusQuery& query,
+                                                         const std::optional<std::set<std::string>>& existing_keys,
+                                                         std::uint64_t term) {
+  if (const auto known = reader_.from_memory(query.id)) {
+    resolve(query, *known);
+  } else if (!existing_keys || ctx_.term != term) {
+    resolve(query, {});
+  } else if (existing_keys->contains(wire::job_key(query.id)) && !ctx_.has_valid_lease()) {
+    const bool placed = existing_keys->contains(placement_key(query.id));
+    resolve(query, {Existence::exists, {query.id, placed ? JobPhase::running : JobPhase::pending, 0, 0}});
+  } else if (existing_keys->contains(wire::final_key(query.id))) {
+    JobLookup lookup = co_await reader_.read_final(query.id);
+    resolve(query, std::move(lookup));
+  } else {
+    JobLookup lookup = co_await reader_.read_status(query.id);
+    resolve(query, std::move(lookup));
+  }
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/status_query_service.hpp
@@ -0,0 +1,66 @@
+// Polls for jobs' states, answered many at a time.
+#pragma once
+#include <memory>
+#include <optional>
+#include <set>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "runtime/http_server.hpp"
+#include "service/context.hpp"
+#include "service/job_reader.hpp"
+#include "service/leader_inbox.hpp"
+#include "service/peer_service.hpp"
+#include "service/store_client.hpp"
+
+namespace martenwall::service {
+
+// Answers polls from memory, or else gathers them for some milliseconds, asks the leader for all of them with one
+// message, and the store for those that the leader does not answer.
+class StatusQueryService {
+ public:
+  StatusQueryService(Context& ctx, StoreClient& store, PeerService& peers, JobReader& reader, LeaderInbox& inbox)
+      : ctx_(ctx), store_(store), peers_(peers), reader_(reader), inbox_(inbox), queue_changed_(ctx.loop) {}
+
+  // A user's GET /api/jobs/{id}: 200, 404, or 503 within the lookup's timeout. Never older than the poll itself.
+  rt::Task<rt::HttpResponse> status(std::string id);
+
+  // Sends the gathered polls on; runs as long as the node.
+  rt::Task<void> run();
+
+ private:
+  // A question that one or more polls wait for. Shared by them and by the batch it goes with, so that it outlives polls
+  // that have given up.
+  struct StatusQuery {
+    StatusQuery(rt::Loop& loop, JobId job) : id(std::move(job)), answered(loop) {}
+    JobId id;
+    std::optional<JobLookup> lookup;
+    bool unknown_to_leader = false;  // the leader said so
+    rt::Event answered;
+  };
+  using StatusQueries = std::vector<std::shared_ptr<StatusQuery>>;
+
+  rt::Task<JobLookup> query(JobId id);
+  std::shared_ptr<StatusQuery> enqueue(const JobId& id);
+  StatusQueries take_batch();
+  rt::Task<void> answer_batch(StatusQueries batch);
+  rt::Task<StatusQueries> answer_from_leader(StatusQueries batch);
+  rt::Task<void> answer_from_store(StatusQueries batch);
+  rt::Task<void> answer_one_from_store(StatusQuery& query, const std::optional<std::set<std::string>>& existing_keys,
+                                       std::uint64_t term);
+  void resolve(StatusQuery& query, JobLookup lookup);
+  [[nodiscard]] std::string placement_key(const JobId& id) const;
+
+  Context& ctx_;
+  StoreClient& store_;
+  PeerService& peers_;
+  JobReader& reader_;
+  LeaderInbox& inbox_;
+  StatusQueries queue_;                                                    // not sent yet, in order of arrival
+  std::unordered_map<JobId, std::shared_ptr<StatusQuery>> queued_by_job_;  // the same, by job
+  std::size_t batches_in_flight_ = 0;
+  rt::Event queue_changed_;  // a question came, or a batch was answered
+};
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/submission_service.cpp
@@ -0,0 +1,122 @@
+#include "service/submission_service.hpp"
+
+#include <algorithm>
+
+#include "service/job_validation.hpp"
+#include "service/user_responses.hpp"
+#include "wire/user_codec.hpp"
+
+namespace martenwall::service {
+
+namespace {
+constexpr Duration forward_timeout = seconds(0.6);  // where the leader is silent, the store is the other way
+}  // namespace
+
+rt::Task<rt::HttpResponse> SubmissionService::submit(std::string body) {
+  auto parsed = wire::parse_job(body);
+  if (const auto* invalid = std::get_if<wire::BadJob>(&parsed)) co_return rejection(400, invalid->why);
+  JobSpec spec = std::get<JobSpec>(std::move(parsed));
+  if (const auto finished = ctx_.finished_jobs.find(spec.id)) co_return status_response(200, *finished);
+  if (!ctx_.may_decide()) {
+    // Which limits it has to fit is not known now; a job that was accepted stays so.
+    co_return co_await answer_existing(spec.id, "the configuration in force is not known now");
+  }
+  if (auto error = find_rejection(spec, ctx_.configuration.teams, ctx_.types)) {
+    co_return co_await reject(spec.id, std::move(*error));
+  }
+  const bool dependent = !spec.dependencies.empty();
+  // A node of the other version would start the job early.
+  if (dependent && ctx_.format_version < wire::current_format_version)
+    co_return retry_later("not all nodes take jobs that await others yet");
+  if (!ctx_.has_valid_lease() && ctx_.has_other_leader()) {
+    const auto verb = dependent ? wire::PeerVerb::submit_dependent : wire::PeerVerb::submit;
+    wire::PeerRequest request{verb, spec.id.value(), std::move(body), {}};
+    const auto reply = co_await peers_.call_leader(std::move(request), forward_timeout);
+    if (reply && (reply->status == 200 || reply->status == 201 || reply->status == 422)) {
+      co_return response_from(*reply);
+    }
+  }
+  // Looked at anew: this node may have become the leader during the wait.
+  co_return co_await accept(std::move(spec), ctx_.has_valid_lease());
+}
+
+rt::Task<rt::HttpResponse> SubmissionService::accept_as_leader(JobSpec spec) {
+  co_return co_await accept(std::move(spec), true);
+}
+
+// The job's state where the store has it; otherwise the user has to ask again, for the given reason.
+rt::Task<rt::HttpResponse> SubmissionService::answer_existing(JobId id, std::string reason_otherwise) {
+  const JobLookup lookup = co_await reader_.read_status(id);
+  if (lookup.exists()) co_return status_response(200, lookup.status);
+  co_return retry_later(reason_otherwise);
+}
+
+// For good only where the store has no such job: one that was accepted under other settings stays accepted.
+rt::Task<rt::HttpResponse> SubmissionService::reject(JobId id, Error error) {
+  if (error.code == ErrorCode::unavailable) co_return retry_later(error.message);
+  const JobLookup lookup = co_await reader_.read_status(id);
+  if (lookup.exists()) co_return status_response(200, lookup.status);
+  if (lookup.existence == Existence::unknown) co_return retry_later("the state service does not answer");
+  co_return rejection(422, error.message);
+}
+
+rt::Task<rt::HttpResponse> SubmissionService::accept(JobSpec spec, bool as_leader) {
+  if (!spec.dependencies.empty()) co_return co_await accept_dependent(std::move(spec), as_leader);
+  co_return co_await store_job(std::move(spec), as_leader);
+}
+
+rt::Task<rt::HttpResponse> SubmissionService::accept_dependent(JobSpec spec, bool as_leader) {
+  using Outcome = DependencyCheck::Outcome;
+  const JobId id = spec.id;
+  if (as_leader) {
+    if (const auto status = ctx_.scheduler->status(id)) co_return status_response(200, *status);
+  }
+  const auto term = ctx_.term;
+  DependencyCheck check = co_await dependencies_.check(spec, as_leader);
+  if (check.outcome == Outcome::already_stored) {
+    co_return co_await answer_existing(id, "the job's state cannot be read now");
+  }
+  const bool on_itself = std::ranges::find(spec.dependencies, id) != spec.dependencies.end();
+  if (on_itself || check.outcome == Outcome::never_accepted) {
+    co_return rejection(422, "awaits a job that was never accepted");
+  }
+  if (check.outcome != Outcome::known) co_return retry_later("the jobs that it awaits cannot be read now");
+  // What is done stays done: the rest is what the job waits for, whoever leads.
+  spec.dependencies = std::move(check.open_dependencies);
+  const bool still_leads = as_leader && ctx_.leads(term) && ctx_.has_valid_lease();
+  co_return co_await store_job(std::move(spec), still_leads);
+}
+
+// Stores the job, whose dependencies, if any, are known to be accepted. The caller has not waited since it saw that
+// this node leads, where `as_leader` says so.
+rt::Task<rt::HttpResponse> SubmissionService::store_job(JobSpec spec, bool as_leader) {
+  const auto term = ctx_.term;
+  const JobId id = spec.id;
+  if (as_leader) {
+    if (const auto status = ctx_.scheduler->status(id)) co_return status_response(200, *status);
+  }
+  Job job;
+  job.spec = std::move(spec);
+  job.submitted = ctx_.now();
+  job.submitted_wall_ms = Context::wall_ms();
+  std::string note = as_leader ? "" : ctx_.settings.node;
+  const TxnResult stored = co_await job_rows_.store_new(job, std::move(note));
+  if (stored.outcome == TxnOutcome::refused) co_return retry_later("the state service does not answer");
+  if (stored.outcome != TxnOutcome::committed) co_return co_await answer_stored_earlier(id);
+  if (as_leader) leader_store_.adopt_job(term, std::move(job), KeyVersion{stored.revision.value()});
+  // A leader that lost its leadership meanwhile has written without an inbox note; its successor may have loaded the
+  // store before: the job would wait for the next load.
+  if (as_leader && !ctx_.leads(term)) co_await inbox_.write_note(id);
+  co_return status_response(201, JobStatus{id, JobPhase::pending, 0, 0});
+}
+
+// The job is known already, or the store's answer was lost: a read of the store tells.
+rt::Task<rt::HttpResponse> SubmissionService::answer_stored_earlier(JobId id) {
+  const JobLookup lookup = co_await reader_.read_status(id);
+  if (!lookup.exists()) co_return retry_later("not known to be stored");
+  // What made it known may have been a leader's own write that was applied late, which has no note for the next one.
+  if (!ctx_.has_valid_lease() && !is_final(lookup.status.phase)) inbox_.announce_job(id);
+  co_return status_response(200, lookup.status);
+}
+
+}  // namespace martenwall::service
--- /dev/null
+++ b/src/service/submission_service.hpp
@@ -0,0 +1,62 @@
+// Submissions: checked, stored once, and handed to the leader.
+#pragma once
+#include <string>
+
+#include "core/result.hpp"
+#include "runtime/http_server.hpp"
+#include "service/context.hpp"
+#include "service/dependency_checker.hpp"
+#include "service/job_reader.hpp"
+#include "service/job_row_store.hpp"
+#include "service/leader_inbox.hpp"
+#include "service/leader_store.hpp"
+#include "service/peer_service.hpp"
+
+namespace martenwall::service {
+
+// Accepts jobs. A job counts as accepted once its row is in the store, whichever node wrote it; 201 and 200 follow only
+// from that. Submissions are idempotent requests: the row is created only where there is none.
+class SubmissionService {
+ public:
+  // What a submission works with; all of it belongs to the node and outlives this service.
+  struct Collaborators {
+    PeerService& peers;
+    LeaderStore& leader_store;
+    JobRowStore& job_rows;
+    JobReader& reader;
+    DependencyChecker& dependencies;
+    LeaderInbox& inbox;
+  };
+  SubmissionService(Context& ctx, const Collaborators& with)
+      : ctx_(ctx),
+        peers_(with.peers),
+        leader_store_(with.leader_store),
+        job_rows_(with.job_rows),
+        reader_(with.reader),
+        dependencies_(with.dependencies),
+        inbox_(with.inbox) {}
+
+  // A user's POST /api/jobs at this node. Responses: 201, 200, 400, 422, or 503 where it cannot be decided now.
+  rt::Task<rt::HttpResponse> submit(std::string body);
+
+  // A submission that another node has checked and forwarded to this one, which leads.
+  rt::Task<rt::HttpResponse> accept_as_leader(JobSpec spec);
+
+ private:
+  rt::Task<rt::HttpResponse> answer_existing(JobId id, std::string reason_otherwise);
+  rt::Task<rt::HttpResponse> reject(JobId id, Error error);
+  rt::Task<rt::HttpResponse> accept(JobSpec spec, bool as_leader);
+  rt::Task<rt::HttpResponse> accept_dependent(JobSpec spec, bool as_leader);
+  rt::Task<rt::HttpResponse> store_job(JobSpec spec, bool as_leader);
+  rt::Task<rt::HttpResponse> answer_stored_earlier(JobId id);
+
+  Context& ctx_;
+  PeerService& peers_;
+  LeaderStore& leader_store_;
+  JobRowStore& job_rows_;
+  JobReader& reader_;
+  DependencyChecker& dependencies_;
+  LeaderInbox& inbox_;
+};
+
+}  // namespace martenwall::service
--- a/src/wire/peer_codec.hpp
+++ b/src/wire/peer_codec.hpp
@@ -43,8 +43,11 @@
 };
 constexpr std::size_t max_peer_jobs = 256;
 
+// The status of a reply to `cloud` where the cloud did not answer the node that passed the request on.
+constexpr int status_no_answer = 0;
+
 struct PeerReply {
-  int status = 0;  // of HTTP; 421: the node asked does not lead
+  int status = status_no_answer;  // of HTTP; 421: the node asked does not lead
   std::string body;
   std::vector<PeerStatus> statuses{};
 };
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -32,23 +32,23 @@
     const wire::PeerReply reply{status, "", {}};
     co_return reply;
   }
-  void run_until(PeerService::Others wanted) {
+  void run_until(PeerService::Availability wanted) {
     const Time until = loop.refresh() + seconds(20);
-    while (here.others() != wanted && loop.now() < until) loop.step();
+    while (here.availability() != wanted && loop.now() < until) loop.step();
   }
 };
 
 // Found by inc-4c3d: the first ping, sent once the state service fails, ended the process.
 TEST(peer_service, a_stuck_node_learns_whether_others_are_better_off) {
   Pair p;
-  rt::spawn(p.here.watch_others());
-  EXPECT_EQ(PeerService::Others::unreachable, p.here.others());
+  rt::spawn(p.here.run_pings());
+  EXPECT_EQ(PeerService::Availability::unreachable, p.here.availability());
   rt::spawn(p.other.serve());
-  p.run_until(PeerService::Others::equally_cut_off);
-  EXPECT_EQ(PeerService::Others::equally_cut_off, p.here.others());
+  p.run_until(PeerService::Availability::equally_cut_off);
+  EXPECT_EQ(PeerService::Availability::equally_cut_off, p.here.availability());
   p.status = 200;
-  p.run_until(PeerService::Others::serving);
-  EXPECT_EQ(PeerService::Others::serving, p.here.others());
+  p.run_until(PeerService::Availability::serving);
+  EXPECT_EQ(PeerService::Availability::serving, p.here.availability());
 }
 
 // A leader that alone is cut off from the cloud could neither hire nor return anything.
@@ -69,16 +69,16 @@
   other_settings.cloud = "127.0.0.1:" + std::to_string(cloud.port());
   Context other_ctx{loop, other_settings, Policy{}, log};
   StoreClient other_state{other_ctx};
-  CloudService other_cloud{other_ctx, other_state};
-  PeerService other{other_ctx, [&](wire::PeerRequest r) { return other_cloud.on_peer_request(std::move(r)); }};
+  std::optional<CloudService> other_cloud;
+  PeerService other{other_ctx, [&](wire::PeerRequest r) { return other_cloud->on_peer_request(std::move(r)); }};
+  other_cloud.emplace(other_ctx, other_state, other);
   rt::spawn(other.serve());
   auto settings = settings_with({{"other", "a", "127.0.0.1:" + std::to_string(other.port())}});
   settings.cloud = "127.0.0.1:1";  // refuses
   Context ctx{loop, settings, Policy{}, log};
   StoreClient state{ctx};
-  CloudService here{ctx, state};
   PeerService peers{ctx, [](wire::PeerRequest) { return Pair::answer(421); }};
-  here.set_peers(peers);
+  CloudService here{ctx, state, peers};
   rt::spawn(here.run_types());
   const Time until = loop.refresh() + seconds(20);
   while (ctx.types.empty() && loop.now() < until) loop.step();
--- a/tests/region/region.cpp
+++ b/tests/region/region.cpp
@@ -308,7 +308,7 @@
   const wire::PeerRequest frame{wire::PeerVerb::configuration, "", wire::encode_configuration_request(request), {}};
   rt::Endpoint to = *rt::Endpoint::parse(at_port(controllers_.at(at).process->node->peers_port()));
   const Time deadline = loop_.now() + seconds(patience);
-  asked->reply = co_await service::ask_once(loop_, std::move(to), wire::encode_frame(frame), deadline);
+  asked->reply = co_await service::call_once(loop_, std::move(to), wire::encode_frame(frame), deadline);
   asked->over = true;
 }
 
