--- a/src/service/configuration_command.cpp
+++ b/src/service/configuration_command.cpp
@@ -35,7 +35,7 @@
 
 rt::Task<void> ask(rt::Loop& loop, rt::Endpoint to, std::string frame, std::shared_ptr<Exchange> exchange) {
   const Time deadline = loop.now() + answer_timeout;
-  exchange->reply = co_await ask_once(loop, std::move(to), std::move(frame), deadline);
+  exchange->reply = co_await call_once(loop, std::move(to), std::move(frame), deadline);
   exchange->finished = true;
 }
 
