--- a/tests/recorded_rounds_test.cpp
+++ b/tests/recorded_rounds_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "simulation.hpp"
+#include "simulation/simulation.hpp"
 
 namespace martenwall {
 namespace {
--- a/tests/region/region.hpp
+++ b/tests/region/region.hpp
@@ -16,6 +16,8 @@
 
 namespace martenwall::region {
 
+constexpr Duration look_every = seconds(0.05);
+
 struct RegionOptions {
   std::size_t controllers = 3, machines = 8;
   bool relay = true;
--- /dev/null
+++ b/tests/simulation/controllers.cpp
@@ -0,0 +1,189 @@
+#include <algorithm>
+
+#include "simulation.hpp"
+
+namespace martenwall::sim {
+
+namespace {
+constexpr std::size_t most_machines = 14;
+}  // namespace
+
+void World::load(Node& n) {
+  Scheduler::Options options;
+  options.policy = policy_;
+  options.terms = terms_;
+  options.teams = teams_;
+  options.token = *lead_;
+  options.old_leader_until = now_ + n.leadership->grace() + policy_.margin;
+  options.range_rows = gate_;
+  options.v1_row_size = 7;
+  options.range_size = 5;
+  n.row_limit = 1000;
+  n.rows_at_once = 6;
+  n.scheduler = std::make_unique<Scheduler>(options, [this](const std::string& line) {
+    if (trace) trace(std::to_string(to_seconds(now_.time_since_epoch())) + " " + line);
+  });
+  for (const auto& [id, s] : stored_jobs_) {
+    if (!s.final) n.scheduler->load_job(s.job, now_);
+  }
+  for (const auto& [group, row] : stored_machines_) {
+    for (const auto& facts : row) n.scheduler->load_machine(facts, now_);
+  }
+  // Those that begin last first; then those by number.
+  for (auto it = stored_tasks_.rbegin(); it != stored_tasks_.rend(); ++it) {
+    if (it->first.kind == RowKind::tasks) n.scheduler->load_tasks(it->second, now_);
+  }
+  for (const auto& [key, row] : stored_tasks_) {
+    if (key.kind == RowKind::tasks_v1) n.scheduler->load_tasks(row, now_);
+  }
+  n.scheduler->finish_load(now_);
+  n.scheduler->set_types(types_);
+}
+
+// What the store says of awaited jobs comes a moment later.
+void World::look_up(Node& n) {
+  for (const auto& id : n.scheduler->take_lookups()) {
+    at(now_ + seconds(between(wire_low, 0.5)), [this, &n, life = n.life, id] {
+      if (n.life != life || n.scheduler == nullptr) return;
+      const auto it = stored_jobs_.find(id);
+      if (now_ < n.cut_until || now_ < n.frozen_until || it == stored_jobs_.end()) return n.scheduler->retry_lookup(id);
+      if (it->second.final) return n.scheduler->on_end_looked_up(id, it->second.job.phase, now_);
+      n.scheduler->add_job(it->second.job, now_);
+      n.scheduler->retry_lookup(id);
+    });
+  }
+}
+
+void World::take_lead(Node& n) {
+  ++takeovers_;
+  lead_ = FencingToken{++revision_};
+  lead_until_ = now_ + policy_.lease_ttl;
+  n.leadership = std::make_unique<Leadership>(policy_, terms_);
+  n.leadership->acquired(*lead_, now_);
+  ++n.life;
+  n.flushing = 0;
+  n.cancels.clear();
+  load(n);
+  n.leadership->loaded(now_);
+  n.next_renewal = now_;
+  for (auto& batch : n.scheduler->announcements()) send_direct(n, std::move(batch));
+}
+
+void World::step_down(Node& n) {
+  n.leadership->lost();
+  n.scheduler.reset();
+  ++n.life;
+  n.flushing = 0;
+  n.cancels.clear();
+}
+
+void World::step_node(Node& n) {
+  if (now_ < n.down_until || now_ < n.frozen_until) return;
+  const bool store = now_ >= n.cut_until;
+  if (n.scheduler == nullptr) {
+    if (store && !lead_) take_lead(n);
+    return;
+  }
+  if (store && now_ >= n.next_renewal) {
+    n.next_renewal = now_ + policy_.renew_every;
+    if (lead_ != n.leadership->token()) return step_down(n);
+    lead_until_ = now_ + policy_.lease_ttl;
+    n.leadership->renewed(now_, now_);
+  }
+  n.leadership->tick(now_);
+  if (!n.leadership->has_valid_lease(now_)) {
+    n.scheduler->expire(now_);
+    return;
+  }
+  if (now_ >= n.next_round) {
+    n.next_round = now_ + policy_.cycle_interval;
+    n.scheduler->run_cycle(now_);
+  }
+  if (gate_) n.scheduler->use_range_rows(now_);
+  look_up(n);
+  if (n.flushing < 3 && n.scheduler->has_writes(true, now_)) flush(n);
+  for (auto& batch : n.scheduler->take_command_batches(now_)) send_direct(n, std::move(batch));
+  scale_out(n);
+  scale_in(n);
+}
+
+void World::scale_out(Node& n) {
+  for (const auto& request : n.scheduler->take_scale_out_requests()) {
+    note(Given::hire, request.name + " " + std::to_string(request.count) + " " + request.type + " " + request.zone +
+                          " " + std::to_string(static_cast<int>(request.spot)));
+    if (!hire_names_.insert(request.name).second) breach("hire name reused: " + request.name);
+    std::vector<MachineId> ids;
+    if (workers_.size() < most_machines) {
+      for (std::uint32_t i = 0; i < request.count && workers_.size() < most_machines; ++i) {
+        ids.push_back(add_worker(request.zone, request.spot, seconds(between(1, 30))));
+      }
+      // The answer can be lost: the machines then turn up by themselves.
+      if (roll() < 0.1) ids.clear();
+    }
+    n.scheduler->on_scale_out_granted(request, ids, now_);
+  }
+}
+
+void World::scale_in(Node& n) {
+  const auto releases = n.scheduler->take_scale_in(now_);
+  for (const auto& id : releases) {
+    note(Given::release, id.value());
+    workers_.erase(id);
+  }
+  if (!releases.empty()) n.scheduler->on_machines_released(releases, now_);
+}
+
+// Rows that the node knows to be too large are divided and not sent.
+std::vector<RowWrite> World::take_fitting(Node& n) {
+  auto rows = n.scheduler->take_writes(n.rows_at_once, true, now_);
+  std::erase_if(rows, [&](const RowWrite& row) {
+    if (size_of(row) <= n.row_limit) return false;
+    ++divided_;
+    n.scheduler->split_row(row, now_);
+    return true;
+  });
+  return rows;
+}
+
+void World::flush(Node& n) {
+  ++n.flushing;
+  const auto rows = take_fitting(n);
+  for (const auto& row : rows) {
+    note(row);
+  }
+  // Held by a cut, a transaction is applied late; its conditions decide then.
+  const Time arrives = std::max(now_, n.cut_until) + seconds(between(wire_low, 0.3));
+  at(arrives, [this, &n, life = n.life, token = n.leadership->token(), rows] { apply(n, life, token, rows); });
+}
+
+void World::take_answer(Node& n, const std::vector<RowWrite>& rows) {
+  n.scheduler->on_rows_stored(rows, now_);
+  std::erase_if(n.cancels, [&](const auto& id) {
+    const auto& s = stored_jobs_.at(id);
+    if (!s.final) return false;
+    if (s.job.phase == JobPhase::cancelled) reported_cancelled_.emplace(id, now_);
+    return true;
+  });
+}
+
+void World::send_direct(Node& n, CommandBatch batch) {
+  note(Given::command, batch.machine, batch.commands);
+  const bool held = faulty_ && roll() < faults_.held_command;
+  const Time arrives = now_ + seconds(held ? between(3, 150) : between(wire_low, wire_high));
+  const auto token = n.leadership->token();
+  const auto life = n.life;
+  const bool answer_lost = faulty_ && roll() < faults_.lost_answer;
+  at(arrives, [this, &n, life, token, batch, held, answer_lost] {
+    Heartbeat report;
+    const auto outcome = deliver_direct(token, batch, report);
+    if (held || answer_lost || n.life != life || n.scheduler == nullptr) return;
+    at(std::max(now_, n.frozen_until), [this, &n, life, batch, outcome, report] {
+      if (n.life != life || n.scheduler == nullptr) return;
+      n.scheduler->on_command_outcome(batch, outcome.value_or(CommandOutcome::unknown), now_);
+      if (outcome)
+        n.scheduler->on_heartbeat(report, StatusSource::command_reply, now_, n.leadership->has_valid_lease(now_));
+    });
+  });
+}
+
+}  // namespace martenwall::sim
--- /dev/null
+++ b/tests/simulation/rules.cpp
@@ -0,0 +1,67 @@
+#include <algorithm>
+
+#include "simulation.hpp"
+
+namespace martenwall::sim {
+
+void World::breach(const std::string& what) {
+  if (breaches_.size() < 5) breaches_.push_back(std::to_string(to_seconds(now_.time_since_epoch())) + " " + what);
+}
+
+// Is any job cancelled that this one needs, directly or through others?
+bool World::needs_cancelled(const JobId& id, const std::function<bool(const JobId&)>& cancelled) const {
+  std::vector<JobId> left = spec_of(id).dependencies;
+  while (!left.empty()) {
+    const JobId next = left.back();
+    left.pop_back();
+    if (cancelled(next)) return true;
+    const auto& more = spec_of(next).dependencies;
+    left.insert(left.end(), more.begin(), more.end());
+  }
+  return false;
+}
+
+void World::check() {
+  check_machines();
+  check_cancelled_dependencies();
+}
+
+// Quotas, and that nothing runs long after its user was told that it is cancelled.
+void World::check_machines() {
+  std::map<std::string, double> used;
+  for (const auto& [id, w] : workers_) {
+    if (!w.alive) continue;
+    for (const auto& [key, t] : w.tasks) {
+      if (!on_machine(t)) continue;
+      const auto& spec = spec_of(key.first.job);
+      used[spec.team] += spec.need.gpus;
+      const auto c = reported_cancelled_.find(key.first.job);
+      if (c != reported_cancelled_.end() && now_ - c->second > seconds(terms_.cancel_s))
+        breach("ran_cancelled " + to_string(key.first));
+    }
+  }
+  for (const auto& t : teams_) {
+    if (used[t.name] > t.limit.gpus + 1e-9) breach("quota " + t.name);
+  }
+}
+
+// What a leader calls active: no user was told so long ago that something it needs is cancelled.
+void World::check_cancelled_dependencies() {
+  const Duration bound = seconds(terms_.cancel_s);
+  const auto cancelled_long_ago = [&](const JobId& id) {
+    const auto c = reported_cancelled_.find(id);
+    return c != reported_cancelled_.end() && now_ - c->second > bound;
+  };
+  for (const auto& n : nodes_) {
+    if (n.scheduler == nullptr || !n.leadership->has_valid_lease(now_) || now_ < n.frozen_until) continue;
+    for (const auto& [id, job] : n.scheduler->jobs()) {
+      const auto status = n.scheduler->status(id);
+      if (status && !is_final(status->phase) && now_ - job.submitted > bound &&
+          needs_cancelled(id, cancelled_long_ago)) {
+        breach("orphaned " + id.value());
+      }
+    }
+  }
+}
+
+}  // namespace martenwall::sim
--- a/tests/simulation.hpp
+++ b/tests/simulation/simulation.hpp
@@ -41,6 +41,7 @@
   double slow_batch = 0.05;   // share that takes seconds
 };
 
+constexpr Duration step_length = seconds(0.1);
 constexpr double wire_low = 0.002;
 constexpr double wire_high = 0.03;
 
@@ -104,6 +105,9 @@
   double between(double a, double b) { return std::uniform_real_distribution<>{a, b}(random_); }
   void inject();
   void step_node(Node& n);
+  void scale_out(Node& n);
+  void scale_in(Node& n);
+  MachineId add_worker(const std::string& zone, bool spot, Duration boots_in);
   void freeze(Node& n);
   void take_lead(Node& n);
   void step_down(Node& n);
@@ -144,17 +148,22 @@
   void receive_answer(const MachineId& id, std::uint64_t no, Incarnation incarnation, bool ok, FencingToken token,
                       const std::vector<Command>& commands);
   void execute(Worker& w, const std::vector<Command>& commands);
+  void execute_start(Worker& w, const TaskKey& key);
+  void execute_stop(WorkTask& t, double grace_s);
   void step_tasks(Worker& w);
   void step_gangs();
   void start_on(Worker& w, const TaskKey& key, WorkTask& t);
   Heartbeat report_of(Worker& w);
   void users();
   void check();
+  void check_machines();
+  void check_cancelled_dependencies();
   void breach(const std::string& what);
   // Their numbers stand in tests/data/recorded_rounds.txt (as digests): they stay.
   enum class Given { hire = 1, release = 2, row = 3, command = 4, answer = 5 };
   void note(Given what, const MachineId& to, const std::vector<Command>& commands) const;
   void note(Given what, const std::string& said) const;
+  void note(const RowWrite& row) const;
   const JobSpec& spec_of(const JobId& id) const { return submitted_.at(id); }
   [[nodiscard]] static bool on_machine(const WorkTask& t) {
     return t.state >= TaskState::waiting && t.state != TaskState::ended;
--- /dev/null
+++ b/tests/simulation/store.cpp
@@ -0,0 +1,62 @@
+#include <algorithm>
+
+#include "simulation.hpp"
+
+namespace martenwall::sim {
+
+void World::apply_row(const RowWrite& row) {
+  const JobId id{row.key.id};
+  if (row.final_job) {
+    auto& s = stored_jobs_.at(id);
+    if (s.final) breach("a final job was written again: " + row.key.id);
+    s.final = true;
+    s.job.phase = row.final_job->phase;
+    const auto stored_cancelled = [&](const JobId& j) {
+      const auto& other = stored_jobs_.at(j);
+      return other.final && other.job.phase == JobPhase::cancelled;
+    };
+    if (s.job.phase == JobPhase::cancelled && !cancel_asked_.contains(id)) {
+      ++cascaded_;
+      if (!needs_cancelled(id, stored_cancelled)) breach("went_back: cancelled by no one: " + row.key.id);
+    }
+    if (s.job.phase == JobPhase::done && completed_[id].size() != s.job.spec.tasks) breach("not_done " + row.key.id);
+  } else if (row.tasks) {
+    // One that was under way when the gate was passed may still arrive, but no later leader writes any.
+    const bool by_number = row.key.kind == RowKind::tasks_v1;
+    if (by_number && gate_ && lead_ != gate_token_) breach("a row by number was written: " + row.key.id);
+    stored_tasks_.insert_or_assign(row.key, *row.tasks);
+  } else if (!row.machines.empty()) {
+    stored_machines_.insert_or_assign(row.key.part, row.machines);
+  } else if (row.key.kind != RowKind::machines) {
+    stored_tasks_.erase(row.key);
+  } else {
+    stored_machines_.erase(row.key.part);
+  }
+}
+
+void World::apply(Node& n, std::uint64_t life, FencingToken token, const std::vector<RowWrite>& rows) {
+  // What is too large is refused whatever the conditions are.
+  const bool too_large =
+      rows.size() > rows_at_once_ || std::ranges::any_of(rows, [&](const auto& r) { return size_of(r) > row_limit_; });
+  const bool ours = lead_ == token;
+  if (too_large) ++refused_;
+  if (ours && !too_large) {
+    ++revision_;
+    for (const auto& row : rows) apply_row(row);
+  }
+  const Time back = std::max({now_, n.cut_until, n.frozen_until}) + seconds(wire_low);
+  at(back, [this, &n, life, rows, ours, too_large] {
+    if (n.life != life || n.scheduler == nullptr) return;
+    if (!ours && !too_large) return step_down(n);
+    --n.flushing;
+    if (too_large) {
+      n.row_limit = std::max<std::size_t>(2, std::min(n.row_limit / 2, row_limit_));
+      n.rows_at_once = 3;
+      n.scheduler->set_row_sizes(3, 25);
+      return n.scheduler->requeue_writes(rows, seconds(0.05), now_);
+    }
+    take_answer(n, rows);
+  });
+}
+
+}  // namespace martenwall::sim
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -1,4 +1,4 @@
-#include "simulation.hpp"
+#include "simulation/simulation.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
