--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -58,7 +58,7 @@
 
 // A zone cut off for 56 s: 597 machines were returned two seconds after their leases, and hired anew while they came
 // back (own zone day of atri, 0.76 -> 0.70 when the leader was not in the zone).
-TEST(fleet_at_size, a_machine_that_is_silent_beyond_its_lease_is_kept_until_it_surely_is_not_worth_it) {
+TEST(capacity, a_machine_silent_beyond_its_lease_is_kept_until_keeping_it_is_surely_not_worth_it) {
   Hall h;
   h.beat(Hall::report("i-1", 1));
   h.rounds_for(21);
@@ -75,7 +75,7 @@
 }
 
 // At four times the size hires waited a minute in a line of hundreds, half of them for kinds refused meanwhile.
-TEST(fleet_at_size, hires_wait_in_a_short_line_and_the_most_urgent_go_first) {
+TEST(capacity, scale_out_requests_wait_in_a_short_queue_and_the_most_urgent_go_first) {
   auto options = Hall::options();
   options.max_pending_scale_outs = 3;
   Scheduler s{options, [](const std::string&) {}};
@@ -108,7 +108,7 @@
   EXPECT_EQ("a", next[0].zone) << "the refused kind is left alone for a while";
 }
 
-TEST(fleet_at_size, a_dead_machine_goes_as_soon_as_the_list_says_so) {
+TEST(capacity, a_dead_machine_is_released_as_soon_as_the_cloud_lists_it_as_failed) {
   Hall h;
   h.beat(Hall::report("i-1", 1));
   h.rounds_for(21);
@@ -120,7 +120,7 @@
 }
 
 // 24,000 lines in five seconds: each round found the lease of each machine that was being returned ended once more.
-TEST(fleet_at_size, the_end_of_a_lease_is_told_once) {
+TEST(capacity, a_lease_expiry_is_logged_once) {
   Hall h;
   for (int i = 0; i < 40; ++i) h.beat(Hall::report(machine(i), 1));
   h.rounds_for(80);
@@ -128,7 +128,7 @@
   EXPECT_LE(h.logged("its lease has surely ended"), 40U);
 }
 
-TEST(fleet_at_size, floods_of_unknown_machines_and_tasks_get_bounded_answers) {
+TEST(capacity, floods_of_unknown_machines_and_tasks_get_bounded_responses) {
   Hall h;
   for (int i = 0; i < 3000; ++i) {
     auto r = Hall::report(machine(i), 1);
@@ -155,7 +155,7 @@
   EXPECT_TRUE(left.empty());
 }
 
-TEST(fleet_at_size, a_list_older_than_the_one_before_takes_nothing_away) {
+TEST(capacity, a_machine_list_older_than_the_previous_one_removes_nothing) {
   Hall h;
   h.beat(Hall::report("i-1", 1));
   h.list("i-1", ListedMachine::Phase::running);
@@ -167,7 +167,7 @@
 }
 
 // The answer to the newest report is given again where the link between nodes repeats it, and to no older one.
-TEST(fleet_at_size, a_repeated_report_is_answered_as_it_stands_and_an_older_one_is_not) {
+TEST(capacity, a_repeated_heartbeat_gets_the_same_response_and_an_older_one_gets_no_commands) {
   Hall h;
   auto r = Hall::report("i-1", 5);
   r.tasks.push_back({TaskId{JobId{"job-unknown"}, 0}, Attempt{1}, TaskState::running, ExitCause::none, false});
@@ -179,7 +179,7 @@
 
 // Found by the region's generated days: four machines idled in one zone, a gang of three that is to be spread waited
 // for ever, and nothing was hired in the other.
-TEST(fleet_size, a_gang_that_is_to_be_spread_gets_machines_in_another_zone) {
+TEST(capacity, a_gang_spread_over_zones_gets_machines_in_another_zone) {
   Hall h;
   for (int i = 0; i < 4; ++i) h.s.on_heartbeat(Hall::report(machine(i), 1), StatusSource::heartbeat, h.now, true);
   for (const JobKind kind : {JobKind::gang, JobKind::array}) {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -94,7 +94,7 @@
 
 // ---- the operators' command ----
 
-TEST(configuration, the_command_tells_what_is_wrong_with_its_input) {
+TEST(configuration, the_command_explains_what_is_wrong_with_its_input) {
   const auto run = [](service::ConfigurationCommand command, std::string& told) {
     std::ostringstream out;
     std::ostringstream err;
@@ -179,7 +179,7 @@
   EXPECT_EQ(reads, b.r.store().reads_of(wire::configuration_key));
 }
 
-TEST(configuration, the_first_change_needs_the_word_of_all_nodes) {
+TEST(configuration, the_first_change_needs_the_confirmation_of_all_nodes) {
   Busy b{202};
   Region& r = b.r;
   const auto other = r.others_of(b.old, 1);
@@ -203,7 +203,7 @@
 }
 
 // It gave its word, but the process that did is gone: the new one reads nothing unless the transaction fails.
-TEST(configuration, a_process_replaced_after_its_word_makes_the_first_change_fail) {
+TEST(configuration, a_process_replaced_after_its_confirmation_makes_the_first_change_fail) {
   Busy b{217};
   Region& r = b.r;
   const auto other = r.others_of(b.old, 1);
@@ -297,7 +297,7 @@
   }
 }
 
-TEST(configuration, a_change_in_doubt_is_applied_once_and_told) {
+TEST(configuration, a_change_of_unknown_outcome_is_applied_once_and_reported) {
   for (const double late : {0.0, 3.0}) {
     Busy b{static_cast<std::uint64_t>(210 + late)};
     Region& r = b.r;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -150,7 +150,8 @@
 }
 
 // Users refused in one outage all came back within one second of its end, and most were refused again.
-RC_GTEST_PROP(return_times, no_second_is_promised_to_more_than_it_takes, (const std::vector<std::uint8_t>& gaps)) {
+RC_GTEST_PROP(retry_after, no_second_is_assigned_more_retries_than_it_can_serve,
+              (const std::vector<std::uint8_t>& gaps)) {
   const int rate = *rc::gen::inRange(1, 50);
   const int most = *rc::gen::inRange(1, 30);
   RetryAfterPacer times{static_cast<double>(rate), most};
@@ -168,7 +169,7 @@
   for (const auto& [second, users] : told) RC_ASSERT(full || users <= 2 * rate + 2);
 }
 
-TEST(return_times, one_that_is_refused_alone_returns_at_once_and_a_rush_is_shared_out) {
+TEST(retry_after, a_single_refused_request_retries_at_once_and_a_burst_is_spread_out) {
   RetryAfterPacer times{10, 8};
   EXPECT_EQ(1, times.next(Time{seconds(1)}));
   EXPECT_EQ(1, times.next(Time{seconds(5)}));
@@ -191,7 +192,7 @@
 
 // On the visitors day 20 guests a second asked for more changes than the store takes: everyone's starts waited
 // up to 36 s behind them.
-RC_GTEST_PROP(write_queue, a_flood_of_guests_leaves_others_their_share, ()) {
+RC_GTEST_PROP(write_queue, a_flood_of_best_effort_rows_leaves_others_their_share, ()) {
   const auto guests = *rc::gen::inRange(1, 300);
   const auto others = *rc::gen::inRange(1, 300);
   const auto most = *rc::gen::inRange<std::size_t>(1, 40);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -71,7 +71,7 @@
   std::uint64_t tick_ = 0;
 };
 
-TEST(chains, a_job_starts_only_after_the_end_of_those_it_awaits_is_stored) {
+TEST(dependencies, a_job_starts_only_after_the_end_of_its_dependencies_is_stored) {
   Chain c;
   c.add(1, {});
   c.add(2, {1});
@@ -89,7 +89,7 @@
 }
 
 // What is within its team's guarantee may stop what another team borrowed.
-TEST(chains, a_waiting_job_has_no_part_in_its_teams_guarantee) {
+TEST(dependencies, a_job_with_open_dependencies_uses_none_of_its_teams_guaranteed_quota) {
   Chain c;
   Job guest = c.job(9, {}, 4);
   guest.spec.team = "wide";
@@ -108,7 +108,7 @@
   EXPECT_TRUE(placed.front().task.job == Chain::id(9) && placed.front().stop_requested);
 }
 
-TEST(chains, a_cancellation_takes_all_that_need_the_job_once_it_is_stored) {
+TEST(dependencies, a_stored_cancellation_cancels_all_dependents) {
   Chain c;
   c.add(1, {});
   c.add(2, {1});
@@ -130,7 +130,7 @@
   EXPECT_FALSE(c.ends.contains(Chain::id(5)));
 }
 
-TEST(chains, a_cancellation_that_lost_to_done_leaves_the_rest_alone) {
+TEST(dependencies, a_cancellation_that_lost_to_completion_cancels_no_dependents) {
   Chain c;
   c.add(1, {});
   c.add(2, {1});
@@ -141,7 +141,7 @@
   EXPECT_EQ(JobPhase::pending, c.phase(2));
 }
 
-TEST(chains, what_is_not_known_here_is_looked_up_and_waited_for) {
+TEST(dependencies, an_unknown_dependency_is_looked_up_and_waited_for) {
   Chain c;
   c.add(3, {1, 2});
   EXPECT_EQ((std::vector{Chain::id(1), Chain::id(2)}), c.s.take_lookups());
@@ -155,7 +155,7 @@
   EXPECT_EQ(JobPhase::pending, c.phase(3));
 }
 
-TEST(chains, a_job_that_names_a_cancelled_one_is_cancelled_at_once) {
+TEST(dependencies, a_job_that_depends_on_a_cancelled_one_is_cancelled_at_once) {
   Chain c;
   c.add(2, {1});
   c.add(3, {2});
@@ -167,7 +167,7 @@
 }
 
 // Only the last job of a pipeline has the deadline and the rank that its user cares about.
-TEST(chains, earlier_jobs_are_as_urgent_as_the_most_urgent_that_needs_them) {
+TEST(dependencies, a_job_is_as_urgent_as_its_most_urgent_dependent) {
   Chain c;
   c.add(1, {});
   Job last = c.job(3, {2});
@@ -190,7 +190,8 @@
 
 // A graph of jobs, some cancelled; the leader ends after any number of writes. Its successor, from what is stored,
 // comes to the same: a job is cancelled if and only if it needs one that a user cancelled.
-RC_GTEST_PROP(chains, a_successor_finishes_a_cascade, (const std::vector<std::vector<std::uint8_t>>& graph)) {
+RC_GTEST_PROP(dependencies, a_new_leader_finishes_cancelling_dependents,
+              (const std::vector<std::vector<std::uint8_t>>& graph)) {
   Chain c;
   std::vector<std::vector<int>> dependencies;
   for (const auto& names : graph) {
--- a/tests/downlink_health_test.cpp
+++ b/tests/downlink_health_test.cpp
@@ -15,7 +15,7 @@
 constexpr Duration lease = seconds(15);
 
 // A worker as PROTOCOL describes it, with answers that reach it or not: a plain reference that knows the truth.
-RC_GTEST_PROP(downlink, a_machine_that_hears_again_is_believed_within_a_lease_and_a_deaf_one_never, ()) {
+RC_GTEST_PROP(downlink_health, a_machine_is_reachable_within_a_lease_of_its_downlinks_return_and_never_before, ()) {
   DownlinkHealth downlink;
   Time now{seconds(100)};
   Time last_answer = now;
@@ -38,7 +38,7 @@
   RC_ASSERT(downlink.is_reachable() != deaf_at_last);
 }
 
-TEST(downlink, one_lost_answer_does_not_make_a_machine_deaf) {
+TEST(downlink_health, one_lost_response_does_not_make_a_machine_unreachable) {
   DownlinkHealth downlink;
   downlink.on_heartbeat(Incarnation{1}, lease, Time{seconds(1)});
   downlink.on_delivery_missed(Time{seconds(2)});
@@ -53,7 +53,7 @@
   EXPECT_TRUE(downlink.is_unreachable());
 }
 
-TEST(downlink, is_probed_at_a_pace_and_only_in_doubt) {
+TEST(downlink_health, probes_are_paced_and_sent_only_to_suspected_machines) {
   DownlinkHealth downlink;
   EXPECT_FALSE(downlink.takes_probe(Time{seconds(1)}));
   downlink.on_delivery_missed(Time{seconds(2)});
@@ -176,7 +176,7 @@
 };
 
 // What is placed on a machine that hears nothing never starts, and its reports were answered for ever.
-TEST(downlink, what_a_deaf_machine_did_not_start_goes_elsewhere) {
+TEST(downlink_health, tasks_that_an_unreachable_machine_did_not_start_are_placed_elsewhere) {
   Ward w{false};
   w.run(2, false);
   w.run(10, false);
@@ -185,7 +185,7 @@
   EXPECT_EQ(1U, w.placed_on("i-2")) << "the other one has room for one";
 }
 
-TEST(downlink, a_machine_that_hears_again_is_used_again) {
+TEST(downlink_health, a_machine_that_is_reachable_again_is_used_again) {
   Ward w{false};
   w.run(12, false);
   ASSERT_EQ(DownlinkState::unreachable, w.downlink());
@@ -196,7 +196,7 @@
 
 // Of an earlier leader's task only the token proves that no late start of it comes, and a deaf machine shows none:
 // unanswered, its lease ends.
-TEST(downlink, an_earlier_leaders_task_on_a_deaf_machine_is_not_waited_for_for_ever) {
+TEST(downlink_health, an_earlier_leaders_task_on_an_unreachable_machine_is_not_waited_for_for_ever) {
   Ward w{true};
   w.run(3, false);
   EXPECT_EQ(1U, w.placed_on("i-1")) << "it may be there";
@@ -206,7 +206,7 @@
 
 // The simulation, of a machine that had been deaf: left unanswered, its session ended, and the next one had just begun
 // when the lease since the last answer was over. What was placed in it was given up and started elsewhere: ran_twice.
-TEST(downlink, a_session_that_has_just_begun_lasts_for_a_lease_of_its_own) {
+TEST(downlink_health, a_new_incarnation_lasts_for_a_lease_of_its_own) {
   Ward w{true};
   w.heard_unanswered(12, Incarnation{2}, false);
   w.heard_unanswered(13, Incarnation{2}, false);
@@ -220,7 +220,7 @@
   EXPECT_EQ(0U, w.placed_on("i-1"));
 }
 
-TEST(downlink, where_half_of_the_fleet_is_deaf_none_of_it_goes_back) {
+TEST(downlink_health, no_machine_is_returned_while_half_of_the_fleet_is_unreachable) {
   Ward w{false};
   w.run(60, false);
   EXPECT_EQ(MachinePhase::up, w.phase()) << "half of the fleet is deaf: the fault is elsewhere";
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -85,7 +85,7 @@
 
 // On the operations days four jobs in a hundred fail everywhere: they stopped others' work for each try, and
 // machines were condemned on their account.
-TEST(blame, jobs_that_always_fail_condemn_no_machine_and_are_tried_seldom) {
+TEST(failure_attribution, jobs_that_always_fail_quarantine_no_machine_and_are_retried_seldom) {
   Farm f{8};
   f.play(2);
   for (const char* id : {"job-1", "job-2", "job-3", "job-4"}) {
@@ -105,7 +105,7 @@
   EXPECT_EQ(nullptr, f.s.find_job(JobId{"job-9"})) << "the others' work must go on";
 }
 
-TEST(blame, a_machine_that_fails_everything_is_found_and_no_job_suspect) {
+TEST(failure_attribution, a_machine_that_fails_everything_is_found_and_no_job_is_suspected) {
   Farm f{6};
   f.sick.insert(MachineId{"i-0"});
   f.play(2);
@@ -118,7 +118,7 @@
 }
 
 // Unlucky at first, it must come back at once with its first result.
-TEST(blame, one_result_clears_the_suspicion) {
+TEST(failure_attribution, one_success_clears_the_suspicion) {
   Farm f{8};
   f.play(2);
   f.broken.insert(JobId{"job-1"});
@@ -133,7 +133,7 @@
 }
 
 // A take-over must not start the learning over: the next leader finds it in the job's row.
-TEST(blame, a_new_leader_knows_the_suspects) {
+TEST(failure_attribution, a_new_leader_knows_the_suspected_jobs) {
   Farm f{8};
   Job j;
   j.spec.id = JobId{"job-1"};
@@ -153,7 +153,7 @@
 }
 
 // However many jobs and machines are at fault, all that can be done gets done.
-RC_GTEST_PROP(blame, what_can_run_does, ()) {
+RC_GTEST_PROP(failure_attribution, every_job_that_can_succeed_completes, ()) {
   Farm f{10};
   f.play(2);
   const auto sick = *rc::gen::inRange(0, 4);
--- a/tests/failure_combinations_generated_test.cpp
+++ b/tests/failure_combinations_generated_test.cpp
@@ -203,7 +203,7 @@
   return what;
 }
 
-RC_GTEST_PROP(meetings, keep_every_rule_whatever_two_troubles_meet, (std::uint64_t seed)) {
+RC_GTEST_PROP(failure_combinations, keep_every_rule_whichever_two_faults_coincide, (std::uint64_t seed)) {
   std::string breaches;
   const auto what = play_day(seed, breaches);
   if (!breaches.empty()) RC_FAIL("seed " + std::to_string(seed) + ": " + what + "\n" + breaches);
--- a/tests/failure_combinations_machines_test.cpp
+++ b/tests/failure_combinations_machines_test.cpp
@@ -53,7 +53,7 @@
   b.ends_well(400);
 }
 
-TEST(meetings, teams_at_their_limit_cancelled_jobs_hang_and_the_leader_changes) {
+TEST(failure_combinations, cancelled_jobs_hang_while_teams_are_at_their_limit_and_the_leader_changes) {
   for (const double time : {4.0, 8.5, 9.8, 13.0, 22.0}) {  // around the lease of 10 s
     play_limit(201, {time, 0, false, false});
     play_limit(202, {0, time, true, false});
@@ -63,7 +63,7 @@
 }
 
 // Machines are up within a second and get work at once, while writes lag and the leader ends.
-TEST(meetings, machines_up_at_once_while_writes_lag_and_the_leader_ends) {
+TEST(failure_combinations, machines_boot_at_once_while_writes_lag_and_the_leader_crashes) {
   std::size_t hired_at_work = 0;
   for (const std::uint64_t seed : {211U, 212U, 213U, 214U, 215U, 216U}) {
     SCOPED_TRACE(seed);
@@ -102,7 +102,7 @@
 
 // Old reports reach every controller just as a new leader begins, or once it has acted: of earlier sessions and
 // attempts, of machines that went back, before and after the true ones.
-TEST(meetings, old_reports_reach_all_controllers_as_a_new_leader_begins) {
+TEST(failure_combinations, old_heartbeats_reach_all_controllers_as_a_new_leader_begins) {
   for (const std::uint64_t seed : {221U, 222U, 223U, 224U}) {
     SCOPED_TRACE(seed);
     RegionOptions options;
@@ -128,7 +128,7 @@
 }
 
 // Workers open no connection to any controller, while commands reach them: nothing renews their lease.
-TEST(meetings, mute_machines_hear_commands) {
+TEST(failure_combinations, machines_without_uplink_receive_commands) {
   for (const double time : {7.0, 9.9, 25.0}) {
     for (const bool killed : {false, true}) {
       SCOPED_TRACE(time);
@@ -155,7 +155,7 @@
 }
 
 // A zone is cut off with its workers and a controller, the leader or not, for longer than a lease.
-TEST(meetings, a_zone_with_a_controller_is_cut_off) {
+TEST(failure_combinations, a_zone_with_a_controller_is_cut_off) {
   for (const std::size_t step : {0U, 1U}) {
     for (const double time : {8.0, 14.0, 45.0}) {
       SCOPED_TRACE(std::to_string(step) + " " + std::to_string(time));
@@ -185,7 +185,7 @@
 }
 
 // All controllers are away, for less and for more than a lease; jobs were called off just before.
-TEST(meetings, all_controllers_are_away) {
+TEST(failure_combinations, all_controllers_are_down) {
   for (const double time : {6.0, 9.5, 14.0, 30.0}) {
     SCOPED_TRACE(time);
     Busy b{251, {}, 60};
@@ -205,7 +205,7 @@
 
 // Jobs bound to one zone, arrays too, lose machines: no second zone while a task may live in the first, and a new one
 // once none does.
-TEST(meetings, jobs_bound_to_one_zone_lose_machines) {
+TEST(failure_combinations, jobs_bound_to_one_zone_lose_machines) {
   for (const std::uint64_t seed : {261U, 262U, 263U, 264U}) {
     SCOPED_TRACE(seed);
     Busy b{seed, {}, 12};
@@ -238,7 +238,7 @@
 }
 
 // More work than room, urgent and not, over slow links: gangs whose images come apart, fetches given up.
-TEST(meetings, more_work_than_room_over_slow_links) {
+TEST(failure_combinations, more_work_than_capacity_over_slow_links) {
   RegionOptions options;
   options.most_machines = 8;
   Busy b{271, options, 10};
@@ -262,7 +262,7 @@
 }
 
 // Leaders change ten times in two minutes, also inside an outage of the store.
-TEST(meetings, leaders_change_ten_times_in_two_minutes) {
+TEST(failure_combinations, the_leader_changes_ten_times_in_two_minutes) {
   for (const std::uint64_t seed : {281U, 282U, 283U}) {
     SCOPED_TRACE(seed);
     Busy b{seed, {}, 60};
@@ -289,7 +289,7 @@
 
 // Jobs are called off at the very moment at which the store refuses the leader alone, and a second later it is out for
 // longer than cancel_s, with starts still on their way.
-TEST(meetings, cancelled_at_the_moment_of_the_refusal) {
+TEST(failure_combinations, a_job_is_cancelled_at_the_moment_of_the_refusal) {
   for (const double before : {0.03, 0.0}) {
     for (const double outage_after : {0.5, 1.0, 2.2}) {
       SCOPED_TRACE(std::to_string(before) + " " + std::to_string(outage_after));
--- a/tests/failure_combinations_test.cpp
+++ b/tests/failure_combinations_test.cpp
@@ -12,7 +12,7 @@
 using region::sets;
 using region::Worker;
 
-TEST(meetings, a_calm_region_runs_its_jobs) {
+TEST(failure_combinations, a_region_without_faults_runs_its_jobs) {
   Region r{1, {}};
   ASSERT_TRUE(r.run_until(20, [&] { return r.leader().has_value(); }));
   std::vector<JobId> jobs;
@@ -71,11 +71,11 @@
   b.ends_well(700);
 }
 
-TEST(meetings, gap) {
+TEST(failure_combinations, confirmed_cancellations_hold_through_a_store_outage_after_a_failover) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) play_gap(seed, {}, {});
 }
 
-TEST(meetings, gap_varied) {
+TEST(failure_combinations, confirmed_cancellations_hold_with_varied_faults_after_a_failover) {
   Gap cut;
   cut.links_cut = true;
   Gap brief;
@@ -98,7 +98,7 @@
 // ---- the eight meetings ----
 
 // 1. The old leader is cut from the store and the others; its workers and its users are not.
-TEST(meetings, leader_cut_from_store_and_controllers) {
+TEST(failure_combinations, the_leader_is_cut_off_from_the_store_and_the_controllers) {
   for (const std::uint64_t seed : {11U, 12U, 13U}) {
     Busy b{seed};
     Region& r = b.r;
@@ -122,7 +122,7 @@
 }
 
 // 2. Copies of reports from earlier sessions, ticks and attempts, also at a leader that is new.
-TEST(meetings, old_reports_after_newer_ones) {
+TEST(failure_combinations, old_heartbeats_arrive_after_newer_ones) {
   for (const std::uint64_t seed : {21U, 22U, 23U}) {
     Busy b{seed, {}, 12};
     Region& r = b.r;
@@ -159,7 +159,7 @@
 }
 
 // 3. Refused alone, with an end that may or may not be stored: another leads and ends the job in another way.
-TEST(meetings, an_end_in_doubt_is_not_taken_for_stored_by_the_next_leaders_end) {
+TEST(failure_combinations, an_end_of_unknown_outcome_is_not_taken_for_stored_because_of_the_next_leaders_end) {
   std::size_t met = 0;
   for (const std::uint64_t seed : {31U, 32U, 33U, 34U, 35U, 36U}) {
     Busy b{seed, {}, 8};
@@ -177,7 +177,7 @@
 
 // The same, and nothing but that one transaction tells the old leader that it leads no more: it has no other rows to
 // write, and what it asks about its lease is answered late.
-TEST(meetings, an_end_in_doubt_is_recognised_by_the_lead_and_its_mark) {
+TEST(failure_combinations, an_end_of_unknown_outcome_is_recognised_by_the_leader_key_and_its_mark) {
   Busy b{39, {}, 60};
   Region& r = b.r;
   r.submit_array(7, 60);  // no machine is idle, so that no other row changes
@@ -201,7 +201,7 @@
 }
 
 // 3 and 7. The end is stored late and read by another node, while its leader still waits for the answer.
-TEST(meetings, an_end_on_its_way_is_not_called_active) {
+TEST(failure_combinations, a_job_whose_end_is_being_written_is_not_reported_active) {
   Busy b{37};
   Region& r = b.r;
   const JobId id = b.jobs.at(0);
@@ -229,7 +229,7 @@
 }
 
 // 3. A note is read once; the job's row cannot be read in that moment.
-TEST(meetings, a_noted_job_runs_although_its_row_could_not_be_read_at_once) {
+TEST(failure_combinations, a_notified_job_runs_although_its_row_could_not_be_read_at_once) {
   Busy b{38, {}, 20};
   Region& r = b.r;
   const auto other = r.others_of(b.old, 1);
@@ -250,7 +250,7 @@
 }
 
 // 4. The lead goes over and comes back, and comes back to a new process too, within seconds.
-TEST(meetings, the_lead_goes_over_and_back) {
+TEST(failure_combinations, leadership_fails_over_and_back) {
   for (const std::uint64_t seed : {41U, 42U, 43U, 44U}) {
     Busy b{seed, {}, 15};
     Region& r = b.r;
@@ -283,7 +283,7 @@
 
 // 4. A release that waited for its turn at the cloud while the lead went over and came back: the new term knows nothing
 // of it and has placed work there.
-TEST(meetings, a_release_of_an_earlier_term_is_dropped) {
+TEST(failure_combinations, a_scale_in_of_an_earlier_term_is_dropped) {
   region::RegionOptions options;
   options.cloud_rps = 0.25;
   options.machines = 12;
@@ -311,7 +311,7 @@
 }
 
 // 4 and 7. Another node writes a note anew while the leader removes the one before: that is no reason to give way.
-TEST(meetings, a_note_written_anew_does_not_end_a_leadership) {
+TEST(failure_combinations, a_rewritten_notification_does_not_end_a_leadership) {
   Busy b{46};
   Region& r = b.r;
   const auto other = r.others_of(b.old, 1);
@@ -337,7 +337,7 @@
 
 // 4. A process that has just begun, and that the store refused until now, does not know yet what all nodes understand:
 // a job that awaits others stands at a key that it would not look at.
-TEST(meetings, a_node_that_begins_finds_jobs_that_await_others) {
+TEST(failure_combinations, a_starting_node_finds_jobs_with_open_dependencies) {
   Busy b{47};
   Region& r = b.r;
   const auto other = r.others_of(b.old, 1);
@@ -362,7 +362,7 @@
 }
 
 // 5. Jobs of two or three tasks that end far apart, with a new leader in between.
-TEST(meetings, small_jobs_end_far_apart_across_changes_of_leader) {
+TEST(failure_combinations, small_jobs_end_far_apart_across_changes_of_leader) {
   for (const std::uint64_t seed : {51U, 52U, 53U}) {
     Busy b{seed, {}, 5};
     Region& r = b.r;
@@ -387,7 +387,7 @@
 }
 
 // 6. The leader ends while machines with long tasks are away, or do not hear the next one. Team and zones are full.
-TEST(meetings, the_leader_ends_while_machines_are_away_or_deaf) {
+TEST(failure_combinations, the_leader_crashes_while_machines_are_away_or_unreachable) {
   for (const std::uint64_t seed : {61U, 62U, 63U, 64U}) {
     region::RegionOptions options;
     options.team_gpus = 24;
@@ -422,7 +422,7 @@
 }
 
 // 7. The leader's own submission is stored after it gave it up: no note goes with it.
-TEST(meetings, a_submission_stored_late_runs) {
+TEST(failure_combinations, a_submission_stored_late_runs) {
   Busy b{71, {}, 20};
   Region& r = b.r;
   const auto other = r.others_of(b.old, 1);
@@ -442,7 +442,7 @@
   EXPECT_EQ("", r.breaches());
 }
 
-TEST(meetings, writes_carried_out_late) {
+TEST(failure_combinations, writes_are_carried_out_late) {
   std::size_t late = 0;
   std::size_t refused = 0;
   for (const std::uint64_t seed : {72U, 73U, 74U}) {
@@ -470,7 +470,7 @@
 
 // 8. A start is held on its way while the job is cancelled, and the store fails in the moment in which its worker
 // would be told: the start comes after the job's tasks have to be gone.
-TEST(meetings, a_start_held_longer_than_a_cancellation_may_take) {
+TEST(failure_combinations, a_start_is_delayed_longer_than_a_cancellation_may_take) {
   Busy b{81};
   Region& r = b.r;
   for (auto& w : r.workers()) w->hold_next_start(seconds(40));
--- a/tests/failure_combinations_users_test.cpp
+++ b/tests/failure_combinations_users_test.cpp
@@ -21,7 +21,7 @@
 }
 
 // Whatever befalls the controllers, no node answers something older than what a user was told.
-TEST(meetings, users_ask_all_nodes_within_milliseconds) {
+TEST(failure_combinations, users_ask_all_nodes_within_milliseconds) {
   for (const std::uint64_t seed : {101U, 102U, 103U, 104U}) {
     SCOPED_TRACE(seed);
     Busy b{seed, {}, 6};
@@ -51,7 +51,7 @@
 }
 
 // A transaction is carried out at once and only its answer is lost, while others read what it wrote.
-TEST(meetings, only_the_answer_is_lost) {
+TEST(failure_combinations, only_the_response_is_lost) {
   std::size_t lost = 0;
   for (const std::uint64_t seed : {111U, 112U, 113U, 114U}) {
     SCOPED_TRACE(seed);
@@ -82,7 +82,7 @@
 }
 
 // Its writer never hears of the key that it wrote, and is refused the read that would tell.
-TEST(meetings, a_lead_whose_writer_never_hears_of_it) {
+TEST(failure_combinations, a_leader_key_whose_writer_gets_no_response) {
   Busy b{115};
   Region& r = b.r;
   std::optional<std::size_t> writer;
@@ -105,7 +105,7 @@
 }
 
 // Written, and its user never told; asked for, submitted again and called off elsewhere.
-TEST(meetings, a_submission_stored_whose_user_was_not_told) {
+TEST(failure_combinations, a_stored_submission_whose_user_got_no_response) {
   for (const bool by_leader : {true, false}) {
     SCOPED_TRACE(by_leader);
     Busy b{116, {}, 20};
@@ -130,7 +130,7 @@
 }
 
 // Cancellations at each moment of a change of hands, at the old leader too, with its starts still on their way.
-TEST(meetings, cancelled_while_the_work_changes_hands) {
+TEST(failure_combinations, jobs_are_cancelled_during_failover) {
   for (const double after : {0.0, 0.4, 0.9, 1.5, 2.0, 2.3, 2.6, 3.2}) {
     for (const bool killed : {false, true}) {
       SCOPED_TRACE(std::to_string(after) + (killed ? " killed" : " refused"));
@@ -162,7 +162,7 @@
 }
 
 // No other trouble: a job is called off, asked for and submitted again just as its last task ends.
-TEST(meetings, a_cancellation_meets_the_end_of_the_last_task) {
+TEST(failure_combinations, a_cancellation_coincides_with_the_end_of_the_last_task) {
   std::size_t done = 0;
   std::size_t cancelled = 0;
   for (const std::uint64_t seed : {131U, 132U, 133U}) {
@@ -185,7 +185,7 @@
 }
 
 // One-task jobs four a second for minutes, a quarter of them cancelled, by a store that takes few changes.
-TEST(meetings, one_task_jobs_for_minutes) {
+TEST(failure_combinations, one_task_jobs_run_for_minutes) {
   RegionOptions options;
   options.write_rps = 30;
   Busy b{141, options, 5};
@@ -282,7 +282,7 @@
 }
 
 // The same verdict at each node, a leader or not, one that has just begun too; and nothing of it is stored.
-TEST(meetings, odd_requests_at_each_node) {
+TEST(failure_combinations, each_node_gets_odd_requests) {
   Busy b{151};
   Region& r = b.r;
   r.kill(r.others_of(b.old, 2));
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -49,7 +49,7 @@
   return out;
 }
 
-TEST(versions, rows_of_the_version_before_are_read) {
+TEST(format_compatibility, rows_of_the_previous_version_are_read) {
   const auto job = decode_job_row(json::parse(job_row), Time{seconds(100)}, 1'790'000'005'000);
   ASSERT_TRUE(job);
   EXPECT_EQ(16U, job->spec.tasks);
@@ -71,7 +71,7 @@
 }
 
 // Below the gate the new version writes what the old one writes, to the byte.
-TEST(versions, rows_below_the_gate_are_those_of_the_version_before) {
+TEST(format_compatibility, rows_before_the_format_upgrade_are_those_of_the_previous_version) {
   auto job = decode_job_row(json::parse(job_row), Time{}, 0);
   ASSERT_TRUE(job);
   EXPECT_EQ(job_row, encode_job_row(*job).dump());
@@ -84,7 +84,7 @@
   EXPECT_EQ(cancel_note, encode_note("stall-1", true).dump());
 }
 
-TEST(versions, frames_are_those_of_the_version_before) {
+TEST(format_compatibility, frames_are_those_of_the_previous_version) {
   const auto submit = bytes("0000000c9401a56a6f622d31a27b7d90");
   EXPECT_EQ(submit, encode_frame(PeerRequest{PeerVerb::submit, "job-1", "{}", {}}));
   const auto statuses = bytes("000000119404a0a092a56a6f622d31a56a6f622d32");
@@ -99,7 +99,7 @@
 }
 
 // That version would start such a job early, or read half of it.
-RC_GTEST_PROP(versions, what_the_version_before_would_misread_it_leaves_alone, ()) {
+RC_GTEST_PROP(format_compatibility, the_previous_version_ignores_what_it_would_misread, ()) {
   Job job;
   job.spec.id = JobId{"job-9"};
   job.spec.job_class = "x";
@@ -115,7 +115,7 @@
   RC_ASSERT(job_key(job.spec.id, true).substr(0, 2) != "j/");
 }
 
-RC_GTEST_PROP(versions, a_row_by_number_is_read_by_the_version_before, (const std::set<std::uint16_t>& held)) {
+RC_GTEST_PROP(format_compatibility, a_v1_row_is_read_by_the_previous_version, (const std::set<std::uint16_t>& held)) {
   TaskRow row;
   row.job = JobId{"job-7"};
   row.is_v1 = true;
@@ -129,7 +129,7 @@
 }
 
 // A legal submission of 64 KiB must not become unstorable under a limit of 2 KiB.
-RC_GTEST_PROP(versions, a_long_row_is_stored_in_pieces, (const std::string& odd)) {
+RC_GTEST_PROP(format_compatibility, a_long_row_is_stored_in_chunks, (const std::string& odd)) {
   Job job;
   job.spec.id = JobId{"job-9"};
   job.spec.job_class = odd.empty() ? "x" : odd;
@@ -147,7 +147,7 @@
   RC_ASSERT(join_chunks({chunks.begin(), chunks.end() - 1}).is_null());
 }
 
-TEST(versions, the_level_row_says_what_rows_by_number_mean) {
+TEST(format_compatibility, the_format_version_row_defines_the_meaning_of_v1_rows) {
   const auto row = decode_format_version(encode_format_version({current_format_version, size_of_8_kib}));
   ASSERT_TRUE(row);
   EXPECT_EQ(size_of_8_kib, row->v1_row_size);
@@ -157,7 +157,8 @@
 
 // Ends are read in runs of neighbours: a page that begins too late would call a job's end absent, one that begins too
 // early might never reach it.
-RC_GTEST_PROP(versions, a_run_begins_just_before_its_first_job, (const std::vector<std::uint32_t>& numbers)) {
+RC_GTEST_PROP(format_compatibility, a_key_range_begins_just_before_its_first_job,
+              (const std::vector<std::uint32_t>& numbers)) {
   const auto id = [](std::uint32_t n) {
     constexpr std::string_view letters = "0123456789azAZ-_.";
     std::string out = "job-";
@@ -171,7 +172,7 @@
   }
 }
 
-TEST(user_codec, the_list_of_awaited_jobs_is_checked) {
+TEST(user_codec, the_list_of_dependencies_is_checked) {
   const auto with = [](const char* dependencies) {
     return parse_job(
         std::string{R"({"ref":"job-1","lane":"l","crew":"c","shape":"sweep","rank":"high","shards":1,"cpus":1,
--- a/tests/heartbeat_relay_test.cpp
+++ b/tests/heartbeat_relay_test.cpp
@@ -21,7 +21,7 @@
 
 // ---- the way to the leader ----
 
-TEST(leader_link, reports_are_held_through_an_election_and_sent_on_when_only_the_link_fails) {
+TEST(leader_link, heartbeats_are_held_through_an_election_and_redirected_when_only_the_link_fails) {
   LeaderLink link{seconds(2)};
   link.set_leader("a", at(0));
   EXPECT_EQ(RoutingAdvice::hold, link.advice());
@@ -42,7 +42,7 @@
   EXPECT_EQ(RoutingAdvice::forward, link.advice());
 }
 
-TEST(leader_link, an_older_leader_gets_its_workers_itself) {
+TEST(leader_link, workers_of_a_leader_of_an_older_version_are_redirected_to_it) {
   LeaderLink link{seconds(2)};
   link.set_leader("a", at(0));
   link.on_probe_result(ProbeResult::unsupported, at(0.1));
@@ -55,7 +55,7 @@
 }
 
 // Whatever comes, a link that was answered last is used, and one never answered by a leader is not.
-TEST(leader_link, generated_events) {
+TEST(leader_link, generated_events_keep_every_invariant) {
   rc::check([] {
     LeaderLink link{seconds(2)};
     double now = 0;
@@ -114,7 +114,7 @@
   }
 };
 
-TEST(worker_balancer, a_node_that_holds_nearly_all_sends_them_on_until_each_has_its_part_and_then_none) {
+TEST(worker_balancer, a_node_that_has_nearly_all_workers_redirects_until_each_has_its_share_and_then_none) {
   Fleet f{{1500, 20, 0}, {1555, 1555, 1555}};
   std::size_t closed = 0;
   std::size_t most = 0;
@@ -129,7 +129,7 @@
   EXPECT_EQ(0U, closed);
 }
 
-TEST(worker_balancer, full_nodes_send_on_at_once_while_others_have_room_and_close_connections_when_none_has) {
+TEST(worker_balancer, full_nodes_redirect_at_once_while_others_have_capacity_and_close_connections_when_none_has) {
   Fleet f{{900, 10, 10}, {300, 300, 300}};
   std::size_t closed = 0;
   f.second(0, closed);
@@ -139,7 +139,7 @@
   EXPECT_GT(closed, 0U);
 }
 
-TEST(worker_balancer, a_node_that_workers_come_back_from_is_left_alone) {
+TEST(worker_balancer, no_worker_is_redirected_to_a_node_that_workers_come_back_from) {
   relay::WorkerBalancer share{"b", 0.5};
   share.on_node_load("a", {0, 1000}, at(0));
   const MachineId worker{"i-1"};
@@ -185,7 +185,7 @@
   });
 }
 
-TEST(report_codec, what_is_passed_on_comes_out_the_same_and_fits_its_bound) {
+TEST(heartbeat_codec, a_forwarded_batch_is_decoded_unchanged_and_fits_its_bound) {
   rc::check([] {
     const auto reports = *rc::gen::container<std::vector<Heartbeat>>(any_report());
     const auto bytes = encoded(reports);
@@ -213,7 +213,7 @@
 }
 
 // A task left out would be taken for absent: nothing that is cut short or changed may pass for a shorter report.
-TEST(report_codec, a_batch_that_cannot_be_read_whole_is_not_read) {
+TEST(heartbeat_codec, a_batch_that_cannot_be_read_whole_is_not_read) {
   rc::check([] {
     const auto bytes = encoded({*any_report(), *any_report()});
     const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -224,7 +224,7 @@
   });
 }
 
-TEST(report_codec, answers_keep_their_orders_and_starts_that_no_worker_reports_are_refused) {
+TEST(heartbeat_codec, responses_keep_their_commands_and_starts_that_no_worker_reports_are_refused) {
   const wire::HeartbeatResponses in{
       FencingToken{7},
       {{HeartbeatResponse::Kind::commands, {{Command::Verb::stop, {JobId{"job-1"}, 4}, Attempt{9}, 2.5}}},
@@ -333,7 +333,7 @@
   }
 };
 
-TEST(relay_service, a_follower_hands_out_the_leaders_answers_under_its_token) {
+TEST(heartbeat_relay, a_follower_passes_on_the_leaders_responses_under_the_leaders_token) {
   Two t;
   t.leader.lead(12);
   t.other.ctx.leader = "lead";
@@ -351,7 +351,7 @@
 }
 
 // It must never say 200 of its own: such an answer would keep the worker while its lease runs out.
-TEST(relay_service, without_a_leader_that_takes_them_workers_are_sent_on) {
+TEST(heartbeat_relay, workers_are_redirected_while_no_leader_accepts_them) {
   Two t;
   t.other.ctx.leader = "lead";  // it does not lead any more: the other learns that only from its answers
   EXPECT_EQ(421, t.answer_of(Two::report(1, 1, 0)).status);
@@ -363,7 +363,7 @@
   EXPECT_GE(t.other.ctx.redirected_workers.stranded(t.loop.now()), 1U);
 }
 
-TEST(relay_service, an_older_leaders_workers_are_redirected_at_once) {
+TEST(heartbeat_relay, workers_of_a_leader_of_an_older_version_are_redirected_at_once) {
   Two t;
   t.leader.lead(12);
   t.leader.old_version = true;
@@ -372,7 +372,7 @@
   EXPECT_TRUE(t.leader.ctx.scheduler->machines().empty());
 }
 
-TEST(relay_service, a_worker_that_has_seen_a_newer_leader_ends_the_older_one_by_this_way_too) {
+TEST(heartbeat_relay, a_relayed_newer_token_ends_the_older_leader) {
   Two t;
   t.leader.lead(12);
   t.other.ctx.leader = "lead";
--- a/tests/leader_reachability_test.cpp
+++ b/tests/leader_reachability_test.cpp
@@ -19,7 +19,7 @@
 
 // On the operations days the leader lost the workers' side alone: it renewed its lease and held the fleet
 // until every worker's lease had ended.
-TEST(reach, a_deaf_leader_gives_way_well_before_leases_end) {
+TEST(leader_reachability, an_unreachable_leader_steps_down_well_before_lease_expiry) {
   LeaderReachability h{terms};
   h.on_leadership_began(Time{seconds(100)});
   const Time cut{seconds(200)};
@@ -34,7 +34,7 @@
 }
 
 // A quiet fleet, a wave of lost machines or a cut that all nodes share leave no worker at another node.
-RC_GTEST_PROP(reach, silence_alone_moves_no_leadership, (const std::vector<std::uint8_t>& heard)) {
+RC_GTEST_PROP(leader_reachability, silence_alone_ends_no_leadership, (const std::vector<std::uint8_t>& heard)) {
   LeaderReachability h{terms};
   Time now{seconds(100)};
   h.on_leadership_began(now);
@@ -46,7 +46,7 @@
 }
 
 // However the workers are divided, at most one of two nodes may find that the other should lead.
-RC_GTEST_PROP(reach, two_nodes_do_not_change_places, ()) {
+RC_GTEST_PROP(leader_reachability, two_nodes_do_not_swap_leadership, ()) {
   const auto here = *rc::gen::inRange<std::size_t>(0, 1500);
   const auto there = *rc::gen::inRange<std::size_t>(0, 1500);
   const Time start{seconds(100)};
@@ -59,7 +59,7 @@
   RC_ASSERT(!(a_gives_up && b_gives_up));
 }
 
-TEST(reach, a_new_leader_is_left_time_to_be_found) {
+TEST(leader_reachability, a_new_leader_is_given_time_to_be_found) {
   LeaderReachability h{terms};
   const Time start{seconds(100)};
   h.on_leadership_began(start);
@@ -67,7 +67,7 @@
   EXPECT_FALSE(judged(h, start + seconds(5), 20, 300, 40));
 }
 
-TEST(reach, an_old_claim_does_not_count) {
+TEST(leader_reachability, an_old_report_of_stranded_workers_does_not_count) {
   LeaderReachability h{terms};
   const Time start{seconds(100)};
   h.on_leadership_began(start);
@@ -76,7 +76,7 @@
 }
 
 // A note of stranded workers that the store carried out late, long after it was true.
-TEST(reach, one_claim_alone_ends_no_leadership) {
+TEST(leader_reachability, one_report_of_stranded_workers_alone_ends_no_leadership) {
   LeaderReachability h{terms};
   const Time start{seconds(100)};
   h.on_leadership_began(start);
@@ -86,7 +86,7 @@
 }
 
 // A day of our own: with two of three nodes silent a worker came back after ten seconds, too late to count.
-TEST(reach, a_worker_that_was_sent_on_counts_for_some_seconds) {
+TEST(leader_reachability, a_redirected_worker_counts_for_some_seconds) {
   RedirectedWorkers t;
   const Time now{seconds(100)};
   t.record(MachineId{"i-1"}, now);
--- a/tests/matcher_test.cpp
+++ b/tests/matcher_test.cpp
@@ -144,7 +144,7 @@
 };
 
 // Sorting rows only when their turn comes must give the very matches of sorting all entries.
-RC_GTEST_PROP(matcher, places_as_the_plain_highest_first_walk_does, ()) {
+RC_GTEST_PROP(matcher, places_as_a_plain_highest_first_walk_does, ()) {
   Scene scene;
   PlacementProblem problem = scene.problem;
   const auto matrix = build_scores(problem);
@@ -159,7 +159,7 @@
 
 // At the registry a fifth of the signing gangs' machine time was lost where an image takes longer to fetch than a
 // task waits for the others: those that had it gave up, and the rest gave up their fetch with them.
-RC_GTEST_PROP(matcher, an_even_gang_is_all_cached_or_all_cold, ()) {
+RC_GTEST_PROP(matcher, a_gang_with_a_uniform_image_is_all_cached_or_all_cold, ()) {
   Scene s;
   for (auto& row : s.problem.jobs) row.uniform_image = row.job->spec.kind == JobKind::gang;
   auto matrix = build_scores(s.problem);
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -27,7 +27,7 @@
   }
 }
 
-TEST(metrics, who_is_served_is_told_by_class_and_team_and_bounded_in_number) {
+TEST(metrics, service_is_exposed_by_class_and_team_with_bounded_cardinality) {
   load::ServiceRecord record;
   record.submitted("scan", "red");
   record.submitted("scan", "red");
@@ -52,7 +52,7 @@
   EXPECT_EQ(load::ServiceRecord::most_pairs + 1, record.all().size());
 }
 
-TEST(metrics, a_minutes_line_tells_of_that_minute_only) {
+TEST(metrics, a_minutes_line_covers_that_minute_only) {
   metrics::Metrics m;
   m.cycles.observe(seconds(0.004));
   m.count_heartbeat(metrics::HeartbeatPath::local, 5);
--- a/tests/overload_admission_test.cpp
+++ b/tests/overload_admission_test.cpp
@@ -22,14 +22,14 @@
   return {job_class, {0}, {0, gpus, 0}, run_s, std::move(times)};
 }
 
-TEST(plan_admission, leaves_all_as_it_is_where_all_can_be_in_time) {
+TEST(overload_admission, changes_nothing_where_all_can_be_in_time) {
   // Late for its first time and for all of them: nobody is short of room, so nothing is decided.
   const auto v =
       load::plan_admission({pool(10, 10)}, {request(5, 10, {50}), request(5, 10, {-5, 20}), request(1, 10, {-9})}, 1);
   for (const auto& one : v) EXPECT_EQ(0U, one.first_met_target);
 }
 
-TEST(plan_admission, gives_up_the_largest_rather_than_many) {
+TEST(overload_admission, defers_the_largest_rather_than_many) {
   // Ten GPUs free 10 GPU-seconds a second: by second 20 there is room for 200.
   std::vector<WorkRequest> requests{request(15, 10, {20})};
   for (int i = 0; i < 10; ++i) requests.push_back(request(2, 10, {20}));
@@ -38,7 +38,7 @@
   for (std::size_t i = 1; i < v.size(); ++i) EXPECT_EQ(0U, v[i].first_met_target);
 }
 
-TEST(plan_admission, what_misses_its_first_time_is_kept_for_a_later_one) {
+TEST(overload_admission, a_request_that_misses_its_first_target_is_kept_for_a_later_one) {
   const auto v = load::plan_admission(
       {pool(10)}, {request(20, 10, {20, 45}), request(20, 10, {20, 90}), request(80, 10, {20, 60})}, 1);
   EXPECT_EQ(0U, v[0].first_met_target);
@@ -47,7 +47,7 @@
 }
 
 // Found by taking the guards out by hand: neither of them was missed by the tests above.
-TEST(plan_admission, what_was_kept_for_a_first_time_is_counted_for_later_ones) {
+TEST(overload_admission, a_request_kept_for_a_first_target_is_accounted_for_later_ones) {
   const auto third = [](double last_s) {
     return load::plan_admission({pool(10)},
                                 {request(10, 10, {20}), request(10, 10, {20}), request(11, 10, {20, last_s})}, 1)[2]
@@ -57,13 +57,13 @@
   EXPECT_EQ(1U, third(35));
 }
 
-TEST(plan_admission, a_time_that_is_past_is_not_met_however_much_is_free) {
+TEST(overload_admission, a_past_target_is_not_met_however_much_capacity_is_free) {
   const auto v = load::plan_admission({pool(10, 5)}, {request(1, 20, {-5, 30}), request(30, 20, {20})}, 1);
   EXPECT_TRUE(v[0].in_short_pool);
   EXPECT_EQ(1U, v[0].first_met_target);
 }
 
-TEST(plan_admission, classes_share_what_is_given_up) {
+TEST(overload_admission, classes_share_what_is_deferred) {
   std::vector<WorkRequest> requests;
   for (int i = 0; i < 20; ++i) requests.push_back(request(1, 10, {10}, 0));  // small, many
   for (int i = 0; i < 20; ++i) requests.push_back(request(2, 10, {10}, 1));  // by size alone all of these would go
@@ -102,7 +102,7 @@
 }
 
 // Held against every choice there is: with one class and one pool, no choice has more in time.
-RC_GTEST_PROP(plan_admission, keeps_as_many_in_time_as_can_be, ()) {
+RC_GTEST_PROP(overload_admission, keeps_as_many_in_time_as_possible, ()) {
   auto requests = some_requests(true);
   for (auto& c : requests) c.latest_start_s.resize(1);
   const double rate = *rc::gen::inRange(1, 8);
@@ -123,7 +123,7 @@
   RC_ASSERT(kept.size() == most);
 }
 
-RC_GTEST_PROP(plan_admission, more_room_never_keeps_fewer_of_one_class, ()) {
+RC_GTEST_PROP(overload_admission, more_capacity_never_keeps_fewer_of_one_class, ()) {
   const auto requests = some_requests(true);
   const double rate = *rc::gen::inRange(1, 8);
   const auto kept = [&](double r) {
@@ -133,7 +133,7 @@
   RC_ASSERT(kept(rate + 1) >= kept(rate));
 }
 
-RC_GTEST_PROP(plan_admission, says_of_each_claim_at_most_that_it_meets_no_time, ()) {
+RC_GTEST_PROP(overload_admission, the_worst_result_of_a_request_is_that_it_meets_no_target, ()) {
   const auto requests = some_requests(false);
   const auto v = load::plan_admission({pool(*rc::gen::inRange(1, 8))}, requests, 0.8);
   RC_ASSERT(v.size() == requests.size());
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -39,7 +39,7 @@
 };
 
 // Found by inc-4c3d: the first ping, sent once the state service fails, ended the process.
-TEST(peer_service, a_stuck_node_learns_whether_others_are_better_off) {
+TEST(peer_service, an_isolated_node_learns_whether_others_are_better_connected) {
   Pair p;
   rt::spawn(p.here.watch_others());
   EXPECT_EQ(PeerService::Others::unreachable, p.here.others());
@@ -52,7 +52,7 @@
 }
 
 // A leader that alone is cut off from the cloud could neither hire nor return anything.
-TEST(cloud_service, asks_another_node_to_pass_requests_on) {
+TEST(cloud_service, asks_another_node_to_forward_requests) {
   rt::Loop loop;
   auto log = std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
   int asked = 0;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -127,7 +127,7 @@
   EXPECT_EQ(2U, starts(d.beat("i-1")));
 }
 
-TEST(scheduler, no_start_without_proven_leadership) {
+TEST(scheduler, no_start_without_a_valid_leader_lease) {
   Desk d;
   d.beat("i-1");
   d.job("job-1", JobKind::array, 1, 1);
@@ -136,7 +136,7 @@
   EXPECT_EQ(0U, starts(d.s.on_heartbeat(d.report("i-1"), StatusSource::heartbeat, d.now, false)));
 }
 
-TEST(scheduler, done_is_told_and_reaped_only_after_it_is_stored) {
+TEST(scheduler, completion_is_reported_and_reaped_only_after_it_is_stored) {
   Desk d;
   d.start_one();
   EXPECT_TRUE(d.beat("i-1", {Desk::task("job-1", 0, 1, TaskState::ended, ExitCause::done)}).empty());
@@ -163,7 +163,7 @@
   EXPECT_TRUE(d.s.machines().at(MachineId{"i-1"}).placements.empty());
 }
 
-TEST(scheduler, the_team_limit_clears_entries) {
+TEST(scheduler, no_placement_exceeds_the_team_limit) {
   Desk d;
   d.beat("i-1");
   d.beat("i-2");
@@ -172,7 +172,7 @@
   EXPECT_EQ(4U, d.s.find_job(JobId{"job-1"})->placed.size());
 }
 
-TEST(scheduler, an_inherited_task_counts_until_the_worker_knows_the_new_token) {
+TEST(scheduler, an_unconfirmed_task_counts_until_the_worker_knows_the_new_token) {
   Desk d;
   Job j;
   j.spec.id = JobId{"job-1"};
@@ -192,7 +192,7 @@
 
 // A direct command without an answer can execute minutes later: no report refutes it, and its
 // attempt is never reaped.
-TEST(scheduler, an_unanswered_direct_start_stays_possible_until_the_session_ends) {
+TEST(scheduler, an_unanswered_direct_start_stays_possible_until_the_incarnation_ends) {
   Desk d{true};
   ASSERT_NO_FATAL_FAILURE(d.start_one_unanswered());
   d.beat("i-1");
@@ -211,7 +211,7 @@
 
 // A start that the network holds may come after a cancelled job's tasks have to be gone. So the worker is made to know
 // the attempt by every answer that keeps its session alive, those of a leader that cannot prove itself too.
-TEST(scheduler, a_held_start_is_made_known_by_a_leader_in_grace_too) {
+TEST(scheduler, a_delayed_start_is_reported_to_a_leader_in_grace_too) {
   Desk d{true};
   ASSERT_NO_FATAL_FAILURE(d.start_one_unanswered());
   d.s.cancel(JobId{"job-1"}, d.now);
@@ -283,7 +283,7 @@
 }
 
 // Found with real processes: six machines stayed for over a minute with nothing to do.
-TEST(scheduler, idle_machines_go_back_sooner_when_no_one_submits) {
+TEST(scheduler, idle_machines_are_returned_sooner_when_no_one_submits) {
   Desk d{false, Policy{}.idle_release};
   d.start_one();
   for (const auto* id : {"i-2", "i-3"}) d.beat(id);
@@ -309,7 +309,7 @@
 }
 
 // Found on the grown sites: hundreds of machines idled, each one used again just before its time was up.
-TEST(scheduler, machines_beyond_the_usual_growth_go_back_soon) {
+TEST(scheduler, machines_beyond_the_usual_growth_are_returned_soon) {
   Desk d;
   d.start_one();
   for (const auto* id : {"i-2", "i-3", "i-4"}) d.beat(id);
@@ -355,7 +355,7 @@
 }
 
 // Found by the simulation: the new leader knew the job no more and let its task run on.
-TEST(scheduler, inherited_work_of_a_finished_job_is_stopped) {
+TEST(scheduler, unconfirmed_tasks_of_a_finished_job_are_stopped) {
   Desk d;
   d.inherit(JobId{"job-9"}, 1);
   d.s.finish_load(d.now);
@@ -365,7 +365,7 @@
 }
 
 // Found by the simulation: a report held in the network revived a session that had ended.
-TEST(scheduler, a_late_report_of_an_ended_session_is_ignored) {
+TEST(scheduler, a_late_heartbeat_of_an_ended_incarnation_is_ignored) {
   Desk d;
   d.start_one();
   const auto late = d.report("i-1", {Desk::task("job-1", 0, 1, TaskState::running)});
@@ -407,7 +407,7 @@
 
 // At 1,500 machines a round must cost by what changed: full machines are no columns, and where nothing can be
 // stopped for the waiting work, no placement is looked at.
-TEST(scheduler, full_machines_cost_a_round_nothing) {
+TEST(scheduler, full_machines_cost_a_cycle_nothing) {
   Desk d;
   std::vector<std::string> names;
   for (int i = 0; i < 1500; ++i) {
@@ -456,7 +456,7 @@
 }
 
 // A machine on which a cancelled job's task may still be counts for its team after a change of leaders too.
-TEST(scheduler, what_is_left_of_a_cancelled_job_stays_in_the_store_until_it_is_gone) {
+TEST(scheduler, residual_tasks_of_a_cancelled_job_stay_in_the_store_until_they_end) {
   Desk d;
   d.start_one();
   d.beat("i-1", {Desk::task("job-1", 0, 1, TaskState::running)});
@@ -502,7 +502,7 @@
 
 // inc-124b: a batch within its guarantee got one guest's place in ten seconds, since an array stopped others' work
 // for one task at a time.
-TEST(scheduler, an_array_gets_room_for_all_its_tasks_at_once) {
+TEST(scheduler, an_array_gets_capacity_for_all_its_tasks_at_once) {
   Desk d;
   for (const char* id : {"i-1", "i-2"}) d.beat(id);
   d.job("job-1", JobKind::array, 8, 1, "wide", Priority::best_effort);
@@ -533,7 +533,7 @@
 
 // The row of a machine is written when there is nothing else to write, so it may tell of an earlier session than the
 // rows of tasks that were placed since: a report of the later one does not show that they are gone.
-TEST(scheduler, an_inherited_task_is_not_given_up_for_a_session_that_its_machines_row_does_not_know) {
+TEST(scheduler, an_unconfirmed_task_is_kept_when_its_machines_row_does_not_know_the_incarnation) {
   for (const bool row_there : {false, true}) {
     Desk d;
     Job j;
@@ -557,7 +557,7 @@
 
 // The first report to a new leader may have been held in the network since an earlier session: that the next one is of
 // another session says nothing of tasks that were placed in it.
-TEST(scheduler, an_inherited_task_outlives_a_late_report_of_an_earlier_session) {
+TEST(scheduler, an_unconfirmed_task_outlives_a_late_heartbeat_of_an_earlier_incarnation) {
   Desk d;
   d.job("job-1", JobKind::array, 1, 1);
   d.inherit(JobId{"job-1"}, 3);
@@ -568,7 +568,7 @@
 
 // A gang's machines come one by one: were the first returned as idle before the last is up, it would never start. (The
 // simulation found such fleets, hiring and returning for ever.)
-TEST(scheduler, machines_that_a_waiting_gang_counts_on_are_not_returned) {
+TEST(scheduler, machines_that_a_waiting_gang_needs_are_not_returned) {
   Desk d{false, seconds(15)};
   for (const char* id : {"i-1", "i-2"}) d.beat(id);
   d.job("job-1", JobKind::gang, 3, 4, "wide", Priority::normal, true);  // a third machine is on its way
--- a/tests/shortage_test.cpp
+++ b/tests/shortage_test.cpp
@@ -170,7 +170,7 @@
 const MachineType four_cpus{"g", {4, 0, 16}, 1000, 1, 0.2, 0.05, 30, {"a"}};
 
 // A day of the boundary survey site: a limit came free one CPU at a time, and tasks of four never found four.
-TEST(shortage, small_tasks_leave_a_larger_one_room_within_the_limit) {
+TEST(shortage, small_tasks_leave_headroom_for_a_larger_one_within_the_limit) {
   Rush before{limited(false, 0), four_cpus};
   play_limited(before);
   EXPECT_FALSE(before.began(2)) << "else this shows nothing";
@@ -180,7 +180,7 @@
 }
 
 // The same where the short ones are not late: they go first, and the large one begins all the same.
-TEST(shortage, a_job_of_which_nothing_began_gets_its_first_task) {
+TEST(shortage, a_job_without_started_tasks_gets_its_first_task) {
   for (const double begin : {0.0, 9.0}) {
     Rush r{limited(true, begin), four_cpus};
     r.spread_run_times();
@@ -198,7 +198,7 @@
 }
 
 // Arrays of thousands in a team of few CPUs want no more than their limit: others of a lower rank are not given up.
-TEST(shortage, what_a_limit_keeps_from_starting_is_not_wanted_of_the_machines) {
+TEST(shortage, no_machines_are_wanted_for_what_a_limit_keeps_from_starting) {
   auto options = Rush::options(40);
   options.teams = {{"red", {2, 0, 0}, {2, 0, 0}}, {"blue", {2, 0, 0}, {1e6, 0, 0}}};
   options.aims.by_class["later"] = {150};
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -36,7 +36,7 @@
   play(seed, f, 900);
 }
 
-RC_GTEST_PROP(simulation, keeps_every_rule_through_take_overs, (std::uint64_t seed)) {
+RC_GTEST_PROP(simulation, keeps_every_rule_through_failovers, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_crash = 0.02;
   f.state_cut = 0.04;
@@ -52,7 +52,7 @@
 }
 
 // Reports go through whichever node they reach, late, twice, out of order, and by way of nodes that stand still.
-RC_GTEST_PROP(simulation, keeps_every_rule_while_any_node_takes_reports, (std::uint64_t seed)) {
+RC_GTEST_PROP(simulation, keeps_every_rule_while_any_node_accepts_heartbeats, (std::uint64_t seed)) {
   sim::Faults f;
   f.relays = true;
   f.node_crash = 0.01;
@@ -72,7 +72,7 @@
   play(seed, f, 900);
 }
 
-TEST(simulation, nodes_that_do_not_lead_hand_out_answers) {
+TEST(simulation, followers_pass_on_responses) {
   sim::Faults f;
   f.relays = true;
   sim::World world{7, f};
@@ -81,7 +81,7 @@
 }
 
 // Rows by number give way to rows that name their runs, and the store takes less and less, while leaders change.
-RC_GTEST_PROP(simulation, keeps_every_rule_while_rows_are_divided, (std::uint64_t seed)) {
+RC_GTEST_PROP(simulation, keeps_every_rule_while_rows_are_split, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_crash = 0.03;
   f.gate = 0.015;
@@ -90,7 +90,7 @@
 }
 
 // Chains of jobs, cancelled here and there.
-RC_GTEST_PROP(simulation, keeps_every_rule_with_chained_jobs, (std::uint64_t seed)) {
+RC_GTEST_PROP(simulation, keeps_every_rule_with_dependent_jobs, (std::uint64_t seed)) {
   sim::Faults f;
   f.chained = 0.9;
   f.late_note = 0.6;
@@ -100,7 +100,7 @@
 }
 
 // Machines that are heard and hear nothing, copies of their reports up to three leases late, also at the next leader.
-RC_GTEST_PROP(simulation, keeps_every_rule_with_deaf_machines_and_late_copies, (std::uint64_t seed)) {
+RC_GTEST_PROP(simulation, keeps_every_rule_with_unreachable_machines_and_late_duplicates, (std::uint64_t seed)) {
   sim::Faults f;
   f.deaf = 0.02;
   f.late_copy = 0.3;
@@ -111,7 +111,7 @@
 }
 
 // Controllers that are back before anyone missed them, in the middle of elections too.
-RC_GTEST_PROP(simulation, keeps_every_rule_through_quick_returns, (std::uint64_t seed)) {
+RC_GTEST_PROP(simulation, keeps_every_rule_through_quick_restarts, (std::uint64_t seed)) {
   sim::Faults f;
   f.quick_return = 0.8;
   f.node_crash = 0.06;
@@ -145,7 +145,7 @@
   EXPECT_GT(deferred, 0U) << "else the property above would show nothing of it";
 }
 
-TEST(simulation, divisions_refusals_and_cascades_do_happen) {
+TEST(simulation, row_splits_refusals_and_cascades_do_happen) {
   std::size_t refused = 0;
   std::size_t divided = 0;
   std::size_t cascaded = 0;
@@ -165,7 +165,7 @@
 }
 
 // What the properties above play is not empty.
-TEST(simulation, take_overs_and_freezes_do_happen) {
+TEST(simulation, failovers_and_freezes_do_happen) {
   for (const bool freezes : {false, true}) {
     sim::Faults f;
     (freezes ? f.node_freeze : f.node_crash) = freezes ? 0.04 : 0.03;
--- a/tests/stand_ins_test.cpp
+++ b/tests/stand_ins_test.cpp
@@ -41,7 +41,7 @@
   }
 };
 
-TEST(judge, finds_nothing_where_nothing_is_wrong) {
+TEST(rules, find_nothing_where_nothing_is_wrong) {
   RuleChecker j;
   for (std::uint32_t i = 0; i < 4; ++i) j.start(i, place("i-1"));
   for (std::uint32_t i = 0; i < 4; ++i) {
@@ -54,14 +54,14 @@
   EXPECT_EQ("", j.found());
 }
 
-TEST(judge, ran_twice) {
+TEST(rules, a_task_that_runs_twice_is_a_violation) {
   RuleChecker j;
   j.start(0, place("i-1"));
   j.start(0, place("i-2"));
   EXPECT_EQ("ran_twice", j.found());
 }
 
-TEST(judge, quota) {
+TEST(rules, a_team_over_its_limit_is_a_violation) {
   RuleChecker j{[](JobSpec& s) { s.need.gpus = 2; }};
   for (std::uint32_t i = 0; i < 2; ++i) j.start(i, place("i-1"));
   EXPECT_EQ("", j.found());
@@ -69,7 +69,7 @@
   EXPECT_EQ("quota", j.found());
 }
 
-TEST(judge, quota_by_the_limits_in_force) {
+TEST(rules, quotas_are_checked_by_the_limits_in_force) {
   RuleChecker j;
   j.rules.change_limits({{"red", {}, {0, 1, 0}}}, at(10), seconds(8));
   j.start(0, place("i-1"), 11);
@@ -79,14 +79,14 @@
   EXPECT_EQ("quota", j.found());
 }
 
-TEST(judge, quota_of_a_team_that_was_removed) {
+TEST(rules, the_quota_of_a_removed_team_is_checked) {
   RuleChecker j;
   j.rules.change_limits({}, at(10), seconds(8));
   j.start(0, place("i-1"), 18.1);
   EXPECT_EQ("quota", j.found());
 }
 
-TEST(judge, wrong_place) {
+TEST(rules, a_task_in_the_wrong_place_is_a_violation) {
   RuleChecker type{[](JobSpec& s) { s.types = {"small"}; }};
   type.start(0, place("i-1"));
   EXPECT_EQ("wrong_place", type.found());
@@ -107,7 +107,7 @@
   EXPECT_EQ("wrong_place", spot.found());
 }
 
-TEST(judge, ran_cancelled) {
+TEST(rules, a_task_that_runs_long_after_its_cancellation_is_a_violation) {
   RuleChecker j;
   j.start(0, place("i-1"));
   j.rules.works().at(job).cancel_asked = at(2);
@@ -123,7 +123,7 @@
   EXPECT_EQ("ran_cancelled", late.found());
 }
 
-TEST(judge, forgotten) {
+TEST(rules, a_forgotten_job_is_a_violation) {
   for (const int status : {404, 400, 422}) {
     RuleChecker j;
     j.rules.refused_forever(job, status, j.rules.sends(), at(1));
@@ -137,7 +137,7 @@
   EXPECT_EQ("forgotten", unanswered.found());
 }
 
-TEST(judge, invented_not_done_went_back_nothing_ran) {
+TEST(rules, invented_unfinished_reverted_and_never_run_results_are_violations) {
   RuleChecker invented;
   invented.rules.on_unknown_job_known(JobId{"job-000009"}, at(1));
   EXPECT_EQ("invented", invented.found());
@@ -159,7 +159,7 @@
 
 // ---- images ----
 
-TEST(stand_ins, an_image_is_fetched_once_kept_and_given_up) {
+TEST(stand_ins, an_image_is_fetched_once_cached_and_its_fetch_abandoned) {
   ImageCache cache{10};
   JobSpec spec;
   spec.image = "x";
@@ -201,7 +201,7 @@
   EXPECT_EQ(400, store.commit(many, at(1)).status);
 }
 
-TEST(stand_ins, a_watch_that_asks_for_too_old_a_revision_is_told_so) {
+TEST(stand_ins, a_watch_from_a_compacted_revision_is_refused) {
   StoreModel store;
   for (int i = 0; i < 10'001; ++i) store.write("a", i);
   EXPECT_EQ(410, store.look({"a", 0, {}}, false)->status);
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -51,7 +51,7 @@
 };
 
 // inc-d2ba: small transactions took each change that was allowed, so that one of many never found enough.
-TEST(state_client, a_large_transaction_is_not_overtaken_for_ever) {
+TEST(store_client, a_large_transaction_does_not_starve) {
   Store s;
   rt::spawn(s.server.serve());
   std::size_t done = 0;
@@ -67,7 +67,7 @@
 
 // A lease that ended and a limit that fell are both 400. Taken for a lost lease, a row that is too large would make
 // each leader step down in turn, for ever.
-TEST(state_client, a_limit_is_told_from_a_lost_lease_and_the_lower_ones_are_taken) {
+TEST(store_client, a_lowered_limit_is_distinguished_from_a_lost_lease_and_adopted) {
   Store s;
   rt::spawn(s.server.serve());
   s.refusal = 400;
@@ -83,7 +83,7 @@
   EXPECT_EQ(28.0, s.ctx.limits.write_rps());
 }
 
-TEST(store_limits, sizes_are_kept_to_ahead_and_rates_from_refusals_on) {
+TEST(store_limits, sizes_are_respected_in_advance_and_rates_after_refusals) {
   const Store s;
   StoreLimits limits{s.settings()};
   limits.all_nodes_read_any_size();
@@ -97,7 +97,7 @@
 }
 
 // Nothing was announced, or less than what came: found by halves, down to where any row still fits.
-TEST(store_limits, what_was_not_announced_is_found_out) {
+TEST(store_limits, limits_that_were_not_announced_are_found_out) {
   const Store s;
   auto settings = s.settings();
   settings.state_next.reset();
--- a/tests/stored_bytes_test.cpp
+++ b/tests/stored_bytes_test.cpp
@@ -781,7 +781,7 @@
 }
 
 // Pieces are read together.
-TEST(stored_bytes, pieces_of_7edafbd_make_the_row_that_they_were_cut_from) {
+TEST(stored_bytes, chunks_of_7edafbd_make_the_row_that_they_were_cut_from) {
   const auto before = recorded();
   std::vector<json> chunks;
   for (std::size_t n = 0; before.contains("piece_of_a_job_row_" + std::to_string(n)); ++n) {
--- a/tests/task_rows_test.cpp
+++ b/tests/task_rows_test.cpp
@@ -105,7 +105,7 @@
   }
 };
 
-RC_GTEST_PROP(rows, nothing_is_lost_by_a_division_whenever_a_leader_ends,
+RC_GTEST_PROP(task_rows, splitting_a_row_loses_nothing_whenever_a_leader_crashes,
               (const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps)) {
   Ledgered w;
   const auto gate = *rc::gen::inRange<std::size_t>(0, 40);
@@ -131,7 +131,7 @@
 
 // Two rows by number are under way as the gate is passed, and only the first is stored: a span that reached into the
 // second would count as stored with it, and its tasks would start without a record.
-TEST(rows, a_span_is_stored_with_no_other_row_than_its_own) {
+TEST(task_rows, a_range_row_is_stored_with_no_other_row_than_its_own) {
   Ledgered w;
   w.beat();
   w.s.run_cycle(w.now);
@@ -153,7 +153,7 @@
 }
 
 // What a row by number still says of an index that a later row tells of is old.
-TEST(rows, the_row_that_begins_last_counts) {
+TEST(task_rows, the_row_that_begins_last_counts) {
   Scheduler next{Ledgered::options(true), [](const std::string&) {}};
   next.load_job(Ledgered::job(), Time{seconds(1000)});
   const auto row = [](std::uint32_t first, std::uint32_t size, std::uint32_t held, bool legacy) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -74,7 +74,7 @@
   }
 }
 
-RC_GTEST_PROP(state_codec, a_job_row_survives_its_encoding, ()) {
+RC_GTEST_PROP(store_codec, a_job_row_survives_its_encoding, ()) {
   Job job;
   job.spec = any_spec();
   job.submitted_wall_ms = 1'790'000'000'000;
@@ -85,7 +85,7 @@
   RC_ASSERT(back->submitted == Time{seconds(95)});
 }
 
-RC_GTEST_PROP(state_codec, a_task_row_survives_its_encoding,
+RC_GTEST_PROP(store_codec, a_task_row_survives_its_encoding,
               (const std::set<std::uint16_t>& placed, const std::set<std::uint16_t>& finished)) {
   TaskRow row;
   row.job = JobId{"job-7"};
@@ -114,7 +114,7 @@
   }
 }
 
-RC_GTEST_PROP(state_codec, rows_of_machines_survive_their_encoding, (const std::vector<std::uint8_t>& images)) {
+RC_GTEST_PROP(store_codec, rows_of_machines_survive_their_encoding, (const std::vector<std::uint8_t>& images)) {
   std::vector<MachineRecord> row;
   for (std::size_t i = 0; i <= images.size() / 3; ++i) {
     row.push_back({MachineId{"i-" + std::to_string(i)}, 7, "10.0.0.1:9", "g8", "a", i % 2 == 0, Incarnation{i}, {}});
@@ -130,7 +130,7 @@
   }
 }
 
-TEST(state_codec, a_full_task_row_stays_small) {
+TEST(store_codec, a_full_task_row_stays_small) {
   // What the size of a row by number is computed with: 60 bytes for each index, 1,200 besides.
   TaskRow row;
   row.job = JobId{"job-" + std::string(110, 'x')};
@@ -156,7 +156,7 @@
   RC_ASSERT(reply->statuses[0].known && reply->statuses[0].running == 9U && !reply->statuses[1].known);
 }
 
-TEST(worker_codec, reads_the_report_of_the_protocol) {
+TEST(worker_codec, reads_the_heartbeat_of_the_protocol) {
   const auto r =
       parse_heartbeat(R"({"host":"i-000231","endpoint":"10.1.0.232:9000","breed":"g8","yard":"a","loaners":true,
      "tenure":1,"tick":88,"baton":41,"recallS":null,"new":1,
@@ -169,12 +169,12 @@
 }
 
 // A report of which one task cannot be read must not count as proof that the task is absent.
-TEST(worker_codec, refuses_a_report_with_an_unreadable_task) {
+TEST(worker_codec, refuses_a_heartbeat_with_an_unreadable_task) {
   EXPECT_FALSE(parse_heartbeat(R"({"host":"i-1","breed":"g","yard":"a","tenure":1,"tick":1,"baton":1,
      "shards":[{"shard":"job-1/x","try":1,"phase":"running"}]})"));
 }
 
-TEST(state_codec, a_transaction_is_as_in_the_protocol) {
+TEST(store_codec, a_transaction_is_as_in_the_protocol) {
   const auto text =
       encode_txn({{"a/b", KeyVersion{0}}}, {{"a/b", json{{"x", 1}}, LeaseId{7}}, {"c/d", std::nullopt, std::nullopt}});
   EXPECT_EQ(
