--- a/scale/balancer.hpp
+++ b/scale/balancer.hpp
@@ -8,6 +8,7 @@
 
 namespace martenwall::scale {
 
+// Distributes users' requests over the healthy controllers.
 class Balancer {
  public:
   Balancer(rt::Loop& loop, const std::vector<ControllerAddress>& controllers);
--- a/scale/cell.cpp
+++ b/scale/cell.cpp
@@ -1,4 +1,4 @@
-#include "scale/field.hpp"
+#include "scale/cell.hpp"
 
 #include <algorithm>
 #include <fstream>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Field::Field(rt::Loop& loop, FieldPlan plan)
+Cell::Cell(rt::Loop& loop, CellPlan plan)
     : loop_(loop),
       plan_(std::move(plan)),
       random_(plan_.seed + 1),
@@ -43,18 +43,18 @@
       balancer_(loop, plan_.controllers),
       users_(loop, plan_, rules_, balancer_) {}
 
-int Field::run() {
+int Cell::run() {
   began_ = loop_.refresh();
   cloud_.run();
   for (std::size_t n = 0; n < balancer_.nodes(); ++n) rt::spawn(balancer_.probe(n));
   rt::spawn(ticks());
-  rt::spawn(day());
+  rt::spawn(run_plan());
   while (!over_) loop_.step();
   write_result();
-  return rules_.breaches().empty() ? 0 : 1;
+  return rules_.violations().empty() ? 0 : 1;
 }
 
-rt::Task<void> Field::ticks() {
+rt::Task<void> Cell::ticks() {
   Time next_second = loop_.now() + seconds(1);
   std::size_t started_before = 0;
   for (;;) {
@@ -83,7 +83,7 @@
   }
 }
 
-rt::Task<void> Field::play(Event e) {
+rt::Task<void> Cell::run_event(Event e) {
   co_await loop_.sleep(seconds(e.at_s));
   if (e.kind == Event::Kind::limits) {
     rules_.change_limits(e.teams, loop_.now(), limits_in_force);
@@ -110,7 +110,7 @@
   }
 }
 
-rt::Task<void> Field::day() {
+rt::Task<void> Cell::run_plan() {
   constexpr Duration first_healthy = seconds(60);
   const Time latest = loop_.now() + first_healthy;
   while (balancer_.healthy() < balancer_.nodes() && loop_.now() < latest) co_await loop_.sleep(seconds(0.2));
@@ -119,7 +119,7 @@
   double faults_end_s = 0;
   for (const auto& e : plan_.events) {
     faults_end_s = std::max(faults_end_s, e.at_s + e.for_s);
-    rt::spawn(play(e));
+    rt::spawn(run_event(e));
   }
   const Time until = began_ + seconds(plan_.arrivals_s);
   for (std::size_t c = 0; c < plan_.classes.size(); ++c) rt::spawn(users_.arrive(c, until));
@@ -132,7 +132,7 @@
   over_ = true;
 }
 
-void Field::write_result() {
+void Cell::write_result() {
   json starts = json::array();
   json running = json::array();
   for (const auto& s : seconds_) {
@@ -143,7 +143,7 @@
   for (const auto& w : cloud_.workers()) lost_to_lease += w->model().lost_to_lease();
   const auto& t = workers_.traffic;
   json result = users_.result(began_);
-  result["breaches"] = rules_.breaches();
+  result["breaches"] = rules_.violations();
   result["started"] = rules_.started();
   result["open_jobs"] = users_.open();
   result["length_s"] = since_began();
--- a/scale/cell.hpp
+++ b/scale/cell.hpp
@@ -7,23 +7,24 @@
 
 namespace martenwall::scale {
 
-class Field {
+// Runs the plan of one cell to its end and writes the result file.
+class Cell {
  public:
-  Field(rt::Loop& loop, FieldPlan plan);
+  Cell(rt::Loop& loop, CellPlan plan);
   int run();  // to its end; writes the result; 1 where a rule was broken
 
  private:
   rt::Task<void> ticks();
-  rt::Task<void> day();
-  rt::Task<void> play(Event event);
+  rt::Task<void> run_plan();
+  rt::Task<void> run_event(Event event);
   void write_result();
   [[nodiscard]] double since_began() const { return to_seconds(loop_.now() - began_); }
 
   rt::Loop& loop_;
-  FieldPlan plan_;
+  CellPlan plan_;
   std::mt19937_64 random_;
   stand_ins::Rules rules_;
-  WorkerField workers_;
+  WorkerFleet workers_;
   Cloud cloud_;
   Balancer balancer_;
   Users users_;
--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-Cloud::Cloud(rt::Loop& loop, const FieldPlan& plan, WorkerField& field)
+Cloud::Cloud(rt::Loop& loop, const CellPlan& plan, WorkerFleet& fleet)
     : loop_(loop),
       plan_(plan),
-      field_(field),
+      fleet_(fleet),
       server_(loop, *rt::Endpoint::parse(plan.cloud_listen), {},
               [this](rt::HttpMessage m) { return handle(std::move(m)); }) {}
 
@@ -35,7 +35,7 @@
   traits.spot = spot;
   traits.room = type.room;
   traits.cache_gb = type.cache_gb;
-  workers_.push_back(std::make_unique<HollowWorker>(field_, std::move(traits), boots));
+  workers_.push_back(std::make_unique<HollowWorker>(fleet_, std::move(traits), boots));
   workers_.back()->run();
   return *workers_.back();
 }
@@ -48,27 +48,28 @@
     const auto type = std::ranges::find(plan_.types, group.type, &MachineType::name);
     for (std::size_t i = 0; i < group.count; ++i) {
       // Their first reports spread over an interval, as those of machines that have been up for long.
-      const Time boots = now + seconds(field_.roll() * plan_.terms.heartbeat_interval_s);
+      const Time boots = now + seconds(fleet_.roll() * plan_.terms.heartbeat_interval_s);
       add(*type, plan_.zones.at(i % plan_.zones.size()), false, boots);
     }
   }
 }
 
-rt::HttpResponse Cloud::hire(const json& wanted) {
+rt::HttpResponse Cloud::scale_out(const json& wanted) {
   const auto name = wanted.at("hire").get<std::string>();
-  if (const auto known = hired_.find(name); known != hired_.end()) return {200, known->second, {}, false};
+  if (const auto known = scale_out_responses_.find(name); known != scale_out_responses_.end())
+    return {200, known->second, {}, false};
   const auto type = std::ranges::find(plan_.types, wanted.at("breed").get<std::string>(), &MachineType::name);
   if (type == plan_.types.end()) return {400, "{}", {}, false};
   auto& spare = spare_[type->name];
   json hosts = json::array();
   const auto count = wanted.at("count").get<std::size_t>();
   for (; spare > 0 && hosts.size() < count; --spare) {
-    const Time boots = loop_.now() + seconds(type->boot_s * (0.6 + 0.9 * field_.roll()));
+    const Time boots = loop_.now() + seconds(type->boot_s * (0.6 + 0.9 * fleet_.roll()));
     hosts.push_back(add(*type, wanted.at("yard"), wanted.at("loaners"), boots).model().traits().id.value());
   }
   if (hosts.empty()) return {503, R"({"error":"no capacity"})", {}, false};
-  hired_[name] = json{{"hosts", hosts}}.dump();
-  return {200, hired_[name], {}, false};
+  scale_out_responses_[name] = json{{"hosts", hosts}}.dump();
+  return {200, scale_out_responses_[name], {}, false};
 }
 
 rt::HttpResponse Cloud::release(const json& wanted) {
@@ -109,7 +110,7 @@
   loop_.refresh();
   if (request.target == "/flavors") co_return rt::HttpResponse{200, plan_.flavors, {}, false};
   if (request.target == "/machines/release") co_return release(json::parse(request.body));
-  if (request.method == "POST") co_return hire(json::parse(request.body));
+  if (request.method == "POST") co_return scale_out(json::parse(request.body));
   co_return list(request.target);
 }
 
--- a/scale/cloud.hpp
+++ b/scale/cloud.hpp
@@ -10,27 +10,28 @@
 
 namespace martenwall::scale {
 
+// The provider's API over HTTP: flavors, scale-out, release and list of machines.
 class Cloud {
  public:
-  Cloud(rt::Loop& loop, const FieldPlan& plan, WorkerField& field);
+  Cloud(rt::Loop& loop, const CellPlan& plan, WorkerFleet& fleet);
   void run();  // its loops, spawned; the machines that are up at the start
   [[nodiscard]] const std::vector<std::unique_ptr<HollowWorker>>& workers() const { return workers_; }
   [[nodiscard]] std::size_t calls() const { return calls_; }
 
  private:
   rt::Task<rt::HttpResponse> handle(rt::HttpMessage request);
-  rt::HttpResponse hire(const nlohmann::json& wanted);
+  rt::HttpResponse scale_out(const nlohmann::json& wanted);
   rt::HttpResponse release(const nlohmann::json& wanted);
   [[nodiscard]] rt::HttpResponse list(const std::string& target) const;
   HollowWorker& add(const MachineType& type, const std::string& zone, bool spot, Time boots);
 
   rt::Loop& loop_;
-  const FieldPlan& plan_;
-  WorkerField& field_;
+  const CellPlan& plan_;
+  WorkerFleet& fleet_;
   rt::HttpServer server_;
-  std::vector<std::unique_ptr<HollowWorker>> workers_;  // in the order of their names
-  std::map<std::string, std::size_t> spare_;            // by type
-  std::map<std::string, std::string> hired_;            // answers, by the request's name
+  std::vector<std::unique_ptr<HollowWorker>> workers_;      // in the order of their names
+  std::map<std::string, std::size_t> spare_;                // by type
+  std::map<std::string, std::string> scale_out_responses_;  // answers, by the request's name
   std::size_t calls_ = 0;
 };
 
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -12,9 +12,9 @@
 namespace martenwall::scale {
 
 // What the workers of one process share.
-struct WorkerField {
+struct WorkerFleet {
   rt::Loop& loop;
-  stand_ins::WorkerWorld world;
+  stand_ins::WorkerContext world;
   const std::vector<ControllerAddress>& controllers;
   std::vector<std::string> names;  // theirs
   std::function<double()> roll;    // 0 to 1
@@ -23,13 +23,15 @@
   } traffic;
 };
 
+// One worker with its HTTP client and server; it sends heartbeats and executes commands, but runs nothing.
 class HollowWorker {
  public:
-  HollowWorker(WorkerField& field, stand_ins::MachineTraits traits, Time boots);
+  HollowWorker(WorkerFleet& fleet, stand_ins::MachineTraits traits, Time boots);
   void run();                                                             // its loops, spawned
-  void tick() { model_.tick(field_.loop.now(), false); }                  // tasks, and the end of its lease
+  void tick() { model_.tick(fleet_.loop.now(), false); }                  // tasks, and the end of its lease
   void wake_if_changed();                                                 // so that it reports
-  void cut_for(Duration time) { cut_until_ = field_.loop.now() + time; }  // no one reaches it, it reaches no one
+  void cut_for(Duration time) { cut_until_ = fleet_.loop.now() + time; }  // no one reaches it, it reaches no one
+  // The machine starts anew: all tasks are gone, the next incarnation begins.
   void restart();
   [[nodiscard]] stand_ins::WorkerModel& model() { return model_; }
   [[nodiscard]] const std::string& zone() const { return model_.traits().zone; }
@@ -37,15 +39,15 @@
   std::uint64_t take_bytes() { return std::exchange(bytes_, 0); }
 
  private:
-  rt::Task<void> report_loop();
+  rt::Task<void> heartbeat_loop();
   rt::Task<rt::HttpResponse> serve(rt::HttpMessage request);
   void take_answer(const rt::HttpResult& result, Time sent, std::uint64_t incarnation);
-  [[nodiscard]] bool cut() const { return field_.loop.now() < cut_until_; }
+  [[nodiscard]] bool cut() const { return fleet_.loop.now() < cut_until_; }
 
-  WorkerField& field_;
+  WorkerFleet& fleet_;
   stand_ins::WorkerModel model_;
   stand_ins::HeartbeatRoute route_;
-  Time last_report_{}, cut_until_{};
+  Time last_heartbeat_at_{}, cut_until_{};
   std::uint64_t bytes_ = 0;
   rt::Event wake_;
   rt::HttpClient client_;
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <memory>
 
-#include "scale/field.hpp"
+#include "scale/cell.hpp"
 #include "scale/store_server.hpp"
 
 namespace {
@@ -42,7 +42,7 @@
       server.run();
       loop.run();
     }
-    const auto day = std::make_unique<martenwall::scale::Field>(loop, martenwall::scale::parse_field_plan(plan));
+    const auto day = std::make_unique<martenwall::scale::Cell>(loop, martenwall::scale::parse_cell_plan(plan));
     // Its coroutines still hold it: the process ends without taking it down piece by piece.
     std::_Exit(day->run());
   } catch (const martenwall::scale::PlanError& e) {
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -104,8 +104,8 @@
   return p;
 }
 
-FieldPlan parse_field_plan(const json& plan) {
-  FieldPlan p;
+CellPlan parse_cell_plan(const json& plan) {
+  CellPlan p;
   p.cloud_listen = value<std::string>(plan, "cloud_listen");
   p.result = value<std::string>(plan, "result");
   for (const auto& c : value<json>(plan, "controllers")) {
--- a/scale/plan.hpp
+++ b/scale/plan.hpp
@@ -17,16 +17,19 @@
   using std::runtime_error::runtime_error;
 };
 
+// What the process of the state service is to do.
 struct StorePlan {
   std::string listen, control;
   stand_ins::StoreLimits limits;
   Duration latency{0};  // added to each answer
 };
 
+// Name of a controller and the address of its API for users.
 struct ControllerAddress {
   std::string name, users;
 };
 
+// Machines of one type.
 struct MachineGroup {
   std::string type;
   std::size_t count = 0, spare = 0;  // up at the start; more that may be hired, all zones together
@@ -46,6 +49,7 @@
   double cancelled = 0;  // part of the jobs that their users call off
 };
 
+// A fault or a change at a given time of the run.
 struct Event {
   enum class Kind { cut_zone, restart_workers, limits } kind = Kind::cut_zone;
   double at_s = 0, for_s = 0;
@@ -54,7 +58,8 @@
   std::vector<Team> teams;     // limits: asked for from then on
 };
 
-struct FieldPlan {
+// What the process with workers, cloud and users is to do.
+struct CellPlan {
   std::string cloud_listen, result;
   std::vector<ControllerAddress> controllers;
   WorkerTerms terms;
@@ -69,7 +74,8 @@
   std::uint64_t seed = 1;
 };
 
+// Both throw PlanError where a field is missing or of the wrong type.
 StorePlan parse_store_plan(const nlohmann::json& plan);
-FieldPlan parse_field_plan(const nlohmann::json& plan);
+CellPlan parse_cell_plan(const nlohmann::json& plan);
 
 }  // namespace martenwall::scale
--- a/scale/store_server.hpp
+++ b/scale/store_server.hpp
@@ -5,6 +5,7 @@
 
 namespace martenwall::scale {
 
+// Serves the key-value API, and on a second port the control API that brings about outages.
 class StoreServer {
  public:
   StoreServer(rt::Loop& loop, StorePlan plan);
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Users::Users(rt::Loop& loop, const FieldPlan& plan, stand_ins::Rules& rules, Balancer& balancer)
+Users::Users(rt::Loop& loop, const CellPlan& plan, stand_ins::Rules& rules, Balancer& balancer)
     : loop_(loop), plan_(plan), rules_(rules), balancer_(balancer), random_(plan.seed) {}
 
 void Users::count_error(const rt::HttpResult& r) {
@@ -68,26 +68,26 @@
 
 rt::Task<bool> Users::poll(JobId id) {
   ++polls_;
-  const stand_ins::Ordinal sent = rules_.sends();
+  const stand_ins::Ordinal sent = rules_.on_request_sent();
   std::string target = "/api/jobs/" + id.value();
   const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_limit);
   count_error(r);
-  if (r.ok()) rules_.told(id, json::parse(r.body).at("phase"), sent, loop_.now());
-  if (r.outcome == rt::Outcome::answered && r.status == 404) rules_.refused_forever(id, 404, sent, loop_.now());
-  const auto& work = rules_.work(id);
+  if (r.ok()) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
+  if (r.outcome == rt::Outcome::answered && r.status == 404) rules_.on_permanent_refusal(id, 404, sent, loop_.now());
+  const auto& work = rules_.job(id);
   co_return work.reported_done || work.reported_cancelled;
 }
 
 rt::Task<void> Users::cancel(JobId id) {
   ++cancels_;
-  rules_.works().at(id).cancel_asked = loop_.now();
+  rules_.jobs().at(id).cancel_asked = loop_.now();
   for (;;) {
-    const stand_ins::Ordinal sent = rules_.sends();
+    const stand_ins::Ordinal sent = rules_.on_request_sent();
     std::string target = "/api/jobs/" + id.value() + "/cancel";
     const rt::HttpResult r = co_await balancer_.request("POST", std::move(target), "", submit_limit);
     count_error(r);
     if (r.ok()) {
-      rules_.told(id, json::parse(r.body).at("phase"), sent, loop_.now());
+      rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
       break;
     }
     co_await loop_.sleep(seconds(1));
@@ -95,29 +95,29 @@
 }
 
 rt::Task<void> Users::user(JobId id, bool cancels) {
-  const std::string body = wire::encode_job(rules_.work(id).spec).dump();
+  const std::string body = wire::encode_job(rules_.job(id).spec).dump();
   const Time began = loop_.now();
-  while (!rules_.work(id).accepted && loop_.now() < began + submit_patience) {
-    const stand_ins::Ordinal sent = rules_.sends();
+  while (!rules_.job(id).accepted && loop_.now() < began + submit_patience) {
+    const stand_ins::Ordinal sent = rules_.on_request_sent();
     std::string copy = body;
     const rt::HttpResult r = co_await balancer_.request("POST", "/api/jobs", std::move(copy), submit_limit);
     count_error(r);
     const bool taken = r.outcome == rt::Outcome::answered && (r.status == 200 || r.status == 201);
     if (taken) {
-      rules_.told(id, json::parse(r.body).at("phase"), sent, loop_.now());
+      rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
       submit_s_.push_back(to_seconds(loop_.now() - began));
       break;
     }
     const bool never = r.outcome == rt::Outcome::answered && (r.status == 400 || r.status == 422);
-    if (never) rules_.refused_forever(id, r.status, sent, loop_.now());
+    if (never) rules_.on_permanent_refusal(id, r.status, sent, loop_.now());
     if (never) break;
     co_await loop_.sleep(seconds(1 + roll()));
   }
-  bool over = !rules_.work(id).accepted;
-  const Time calls_off = cancels ? loop_.now() + seconds(rules_.work(id).run_s * roll()) : Time::max();
+  bool over = !rules_.job(id).accepted;
+  const Time cancels_at = cancels ? loop_.now() + seconds(rules_.job(id).run_s * roll()) : Time::max();
   while (!over) {
     co_await loop_.sleep(seconds(to_seconds(poll_every) * (0.8 + 0.4 * roll())));
-    if (loop_.now() >= calls_off && !rules_.work(id).cancel_asked) co_await cancel(id);
+    if (loop_.now() >= cancels_at && !rules_.job(id).cancel_asked) co_await cancel(id);
     over = co_await poll(id);
   }
   --open_;
@@ -145,7 +145,7 @@
                        {"begin_delay_s", json::array()},
                        {"submitted_s", json::array()}};
   }
-  for (const auto& [id, w] : rules_.works()) {
+  for (const auto& [id, w] : rules_.jobs()) {
     auto& c = classes[w.spec.job_class];
     c["jobs"] = c["jobs"].get<std::size_t>() + 1;
     c["tasks"] = c["tasks"].get<std::size_t>() + w.spec.tasks;
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -13,9 +13,10 @@
 
 namespace martenwall::scale {
 
+// All users of a cell; what they observe is handed to the rules.
 class Users {
  public:
-  Users(rt::Loop& loop, const FieldPlan& plan, stand_ins::Rules& rules, Balancer& balancer);
+  Users(rt::Loop& loop, const CellPlan& plan, stand_ins::Rules& rules, Balancer& balancer);
   rt::Task<void> arrive(std::size_t job_class, Time until);  // jobs of one class
   rt::Task<void> ask_about_unknown(Time until);              // jobs that nobody submitted
   [[nodiscard]] std::size_t open() const { return open_; }   // jobs that are not over
@@ -31,7 +32,7 @@
   void count_error(const rt::HttpResult& r);
 
   rt::Loop& loop_;
-  const FieldPlan& plan_;
+  const CellPlan& plan_;
   stand_ins::Rules& rules_;
   Balancer& balancer_;
   std::mt19937_64 random_;
--- a/stand_ins/rules.cpp
+++ b/stand_ins/rules.cpp
@@ -6,35 +6,35 @@
 
 namespace {
 constexpr Duration longest_unanswered = seconds(75);
-constexpr Duration longest_beside_room = seconds(90);
-constexpr std::size_t most_breaches = 8;
+constexpr Duration max_wait_with_capacity = seconds(90);
+constexpr std::size_t max_violations = 8;
 }  // namespace
 
-Work& Rules::add(JobSpec spec, double run_s, Time now) {
+SubmittedJob& Rules::add(JobSpec spec, double run_s, Time now) {
   const JobId id = spec.id;
-  auto& w = works_[id];
+  auto& w = jobs_[id];
   w.spec = std::move(spec);
   w.run_s = run_s;
-  w.submitted = w.answered = now;
+  w.submitted = w.last_answer_at = now;
   return w;
 }
 
-const Work* Rules::find(const JobId& id) const {
-  const auto it = works_.find(id);
-  return it == works_.end() ? nullptr : &it->second;
+const SubmittedJob* Rules::find(const JobId& id) const {
+  const auto it = jobs_.find(id);
+  return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void Rules::breach(const std::string& what, Time now) {
-  if (breaches_.size() < most_breaches) {
-    breaches_.push_back(std::to_string(to_seconds(now.time_since_epoch())) + " " + what);
+void Rules::report_violation(const std::string& what, Time now) {
+  if (violations_.size() < max_violations) {
+    violations_.push_back(std::to_string(to_seconds(now.time_since_epoch())) + " " + what);
   }
 }
 
 // Given the job's other tasks at this moment.
 void Rules::check_place(const TaskId& task, const Place& place, Time now) {
-  const auto& spec = works_.at(task.job).spec;
+  const auto& spec = jobs_.at(task.job).spec;
   const auto wrong = [&](const char* what) {
-    breach(std::string{"wrong_place: "} + what + " " + to_string(task), now);
+    report_violation(std::string{"wrong_place: "} + what + " " + to_string(task), now);
   };
   if (place.spot && !spec.spot) wrong("spot");
   if (spec.zone && *spec.zone != place.zone) wrong("zone");
@@ -68,7 +68,7 @@
     const auto it = std::ranges::find(l.teams, team, &Team::name);
     return it != l.teams.end() && within(it->limit, used_by(team));
   };
-  if (std::ranges::none_of(limits_, allows)) breach("quota " + team, now);
+  if (std::ranges::none_of(limits_, allows)) report_violation("quota " + team, now);
 }
 
 void Rules::change_limits(std::vector<Team> teams, Time now, Duration in_force) {
@@ -76,16 +76,16 @@
   limits_.push_back({std::move(teams)});
 }
 
-void Rules::starts(const TaskId& task, const Place& place, Time now) {
+void Rules::on_task_started(const TaskId& task, const Place& place, Time now) {
   ++started_;
-  auto& w = works_.at(task.job);
+  auto& w = jobs_.at(task.job);
   if (w.reported_cancelled) ++started_after_cancel_;
   for (const auto& id : w.spec.dependencies) {
-    if (works_.at(id).completed.size() != works_.at(id).spec.tasks) breach("too early " + to_string(task), now);
+    if (jobs_.at(id).completed.size() != jobs_.at(id).spec.tasks) report_violation("too early " + to_string(task), now);
   }
   auto& holders = on_[task.job][task.index];
   for (const auto& [machine, zone] : holders) {
-    breach("ran_twice " + to_string(task) + " on " + machine.value() + " and " + place.machine.value(), now);
+    report_violation("ran_twice " + to_string(task) + " on " + machine.value() + " and " + place.machine.value(), now);
   }
   check_place(task, place, now);
   if (w.spec.kind == JobKind::array && !w.begun && w.begun_tasks.insert(task.index).second &&
@@ -96,17 +96,17 @@
   if (holders.emplace(place.machine, place.zone).second) used_[w.spec.team].add(w.spec.need);
   check_limit(w.spec.team, now);
   if (w.reported_cancelled && now - *w.reported_cancelled > seconds(terms_.cancel_s)) {
-    breach("ran_cancelled " + to_string(task) + " starts on " + place.machine.value(), now);
+    report_violation("ran_cancelled " + to_string(task) + " starts on " + place.machine.value(), now);
   }
 }
 
-void Rules::gang_runs(const JobId& job, Time now) {
-  auto& w = works_.at(job);
+void Rules::on_gang_running(const JobId& job, Time now) {
+  auto& w = jobs_.at(job);
   if (!w.begun) w.begun = now;
 }
 
-void Rules::completes(const TaskId& task) {
-  auto& w = works_.at(task.job);
+void Rules::on_task_completed(const TaskId& task) {
+  auto& w = jobs_.at(task.job);
   const bool fresh = w.completed.insert(task.index).second;
   if (fresh && w.completed.size() == w.spec.tasks && on_complete) on_complete(task.job);
 }
@@ -126,7 +126,7 @@
 }
 
 bool Rules::within_limit(const JobId& id, std::uint32_t more_tasks) const {
-  const auto& spec = works_.at(id).spec;
+  const auto& spec = jobs_.at(id).spec;
   const auto& teams = limits_.back().teams;
   const auto team = std::ranges::find(teams, spec.team, &Team::name);
   if (team == teams.end()) return false;
@@ -135,21 +135,21 @@
   return within(team->limit, used);
 }
 
-void Rules::waits_beside_room(const JobId& id, bool so, Time now) {
-  auto& w = works_.at(id);
-  if (!so) return w.beside_room.reset();
-  if (!w.beside_room) w.beside_room = now;
-  if (now - *w.beside_room <= longest_beside_room) return;
-  breach("neglected " + id.value() + ": waits beside room", now);
-  w.beside_room = now;
+void Rules::check_neglected(const JobId& id, bool so, Time now) {
+  auto& w = jobs_.at(id);
+  if (!so) return w.waiting_with_capacity_since.reset();
+  if (!w.waiting_with_capacity_since) w.waiting_with_capacity_since = now;
+  if (now - *w.waiting_with_capacity_since <= max_wait_with_capacity) return;
+  report_violation("neglected " + id.value() + ": waits beside room", now);
+  w.waiting_with_capacity_since = now;
 }
 
-void Rules::leaves(const TaskId& task, const MachineId& on) {
+void Rules::on_task_left(const TaskId& task, const MachineId& on) {
   const auto job = on_.find(task.job);
   if (job == on_.end()) return;
   const auto holders = job->second.find(task.index);
   if (holders == job->second.end() || holders->second.erase(on) == 0) return;
-  const auto& spec = works_.at(task.job).spec;
+  const auto& spec = jobs_.at(task.job).spec;
   used_[spec.team].add(spec.need, -1);
   if (holders->second.empty()) job->second.erase(holders);
   if (job->second.empty()) on_.erase(job);
@@ -157,69 +157,72 @@
 
 // Its own user, or that of a job that it awaits, directly or through others.
 bool Rules::asked_to_cancel(const JobId& id) const {
-  const auto& w = works_.at(id);
+  const auto& w = jobs_.at(id);
   return w.cancel_asked || std::ranges::any_of(w.spec.dependencies, [&](const JobId& a) { return asked_to_cancel(a); });
 }
 
-void Rules::told(const JobId& id, const std::string& phase, Ordinal sent, Time now) {
-  auto& w = works_.at(id);
-  w.answered = now;
+void Rules::on_phase_reported(const JobId& id, const std::string& phase, Ordinal sent, Time now) {
+  auto& w = jobs_.at(id);
+  w.last_answer_at = now;
   bool news = !w.accepted;
   const Ordinal heard = ++order_;
   if (!w.accepted) {
     w.accepted = now;
-    w.acceptance_seen = heard;
+    w.acceptance_order = heard;
   }
-  const bool was_done = w.reported_done && sent > w.end_seen;
-  const bool was_cancelled = w.reported_cancelled && sent > w.end_seen;
-  if (was_done && phase != "done") breach("went_back " + id.value() + ": done, then " + phase, now);
-  if (was_cancelled && phase != "withdrawn") breach("went_back " + id.value() + ": withdrawn, then " + phase, now);
+  const bool was_done = w.reported_done && sent > w.end_order;
+  const bool was_cancelled = w.reported_cancelled && sent > w.end_order;
+  if (was_done && phase != "done") report_violation("went_back " + id.value() + ": done, then " + phase, now);
+  if (was_cancelled && phase != "withdrawn")
+    report_violation("went_back " + id.value() + ": withdrawn, then " + phase, now);
   if (phase == "done") {
-    if (w.completed.size() != w.spec.tasks) breach("not_done " + id.value(), now);
+    if (w.completed.size() != w.spec.tasks) report_violation("not_done " + id.value(), now);
     news = news || !w.reported_done;
     if (!w.reported_done) w.reported_done = now;
   }
   if (phase == "withdrawn") {
-    if (!asked_to_cancel(id)) breach("went_back " + id.value() + ": cancelled by no one", now);
+    if (!asked_to_cancel(id)) report_violation("went_back " + id.value() + ": cancelled by no one", now);
     news = news || !w.reported_cancelled;
     if (!w.reported_cancelled) w.reported_cancelled = now;
   }
-  if (w.end_seen == 0 && (w.reported_done || w.reported_cancelled)) w.end_seen = heard;
+  if (w.end_order == 0 && (w.reported_done || w.reported_cancelled)) w.end_order = heard;
   // An end is for good, whichever question was sent first.
-  if (w.reported_done && w.reported_cancelled) breach("went_back " + id.value() + ": both done and withdrawn", now);
+  if (w.reported_done && w.reported_cancelled)
+    report_violation("went_back " + id.value() + ": both done and withdrawn", now);
   if (news && on_news) on_news(id);
 }
 
-void Rules::refused_forever(const JobId& id, int status, Ordinal sent, Time now) {
-  auto& w = works_.at(id);
-  w.answered = now;
-  if (w.accepted && sent > w.acceptance_seen) breach("forgotten " + id.value() + ": " + std::to_string(status), now);
+void Rules::on_permanent_refusal(const JobId& id, int status, Ordinal sent, Time now) {
+  auto& w = jobs_.at(id);
+  w.last_answer_at = now;
+  if (w.accepted && sent > w.acceptance_order)
+    report_violation("forgotten " + id.value() + ": " + std::to_string(status), now);
 }
 
-void Rules::on_unknown_job_known(const JobId& id, Time now) { breach("invented " + id.value(), now); }
+void Rules::on_unknown_job_known(const JobId& id, Time now) { report_violation("invented " + id.value(), now); }
 
 void Rules::finish(Time now) {
-  if (started_ == 0) breach("nothing_ran", now);
+  if (started_ == 0) report_violation("nothing_ran", now);
 }
 
 void Rules::tick(Time now) {
   for (const auto& [id, tasks] : on_) {
-    const auto& w = works_.at(id);
+    const auto& w = jobs_.at(id);
     if (!w.reported_cancelled || now - *w.reported_cancelled <= seconds(terms_.cancel_s)) continue;
     for (const auto& [index, holders] : tasks) {
       for (const auto& [machine, zone] : holders) {
-        breach("ran_cancelled " + to_string(TaskId{id, index}) + " on " + machine.value(), now);
+        report_violation("ran_cancelled " + to_string(TaskId{id, index}) + " on " + machine.value(), now);
       }
     }
   }
-  if (!calm_since_) return;
-  for (auto& [id, w] : works_) {
+  if (!faults_over_since_) return;
+  for (auto& [id, w] : jobs_) {
     const bool over = w.reported_done || w.reported_cancelled;
     if (over || !w.accepted) continue;
-    const Time since = std::max(w.answered, *calm_since_);
+    const Time since = std::max(w.last_answer_at, *faults_over_since_);
     if (now - since > longest_unanswered) {
-      breach("forgotten " + id.value() + ": no answer", now);
-      w.answered = now;
+      report_violation("forgotten " + id.value() + ": no answer", now);
+      w.last_answer_at = now;
     }
   }
 }
--- a/stand_ins/rules.hpp
+++ b/stand_ins/rules.hpp
@@ -18,7 +18,7 @@
 using Ordinal = std::uint64_t;
 
 // A job as its user knows it.
-struct Work {
+struct SubmittedJob {
   JobSpec spec;
   double run_s = 10;                    // of its first task
   double stagger_s = 0;                 // each further one takes so much longer
@@ -26,10 +26,10 @@
   std::set<std::uint32_t> begun_tasks;  // of an array: ran once
   Time submitted{};
   std::optional<Time> accepted, cancel_asked, reported_done, reported_cancelled;
-  Ordinal acceptance_seen = 0, end_seen = 0;
-  Time answered{};                  // the last answer to any question about it
-  std::optional<Time> beside_room;  // waits since then, and could have begun
-  std::optional<Time> begun;        // all its tasks ran, or of a gang run
+  Ordinal acceptance_order = 0, end_order = 0;
+  Time last_answer_at{};                            // the last answer to any question about it
+  std::optional<Time> waiting_with_capacity_since;  // waits since then, and could have begun
+  std::optional<Time> begun;                        // all its tasks ran, or of a gang run
 };
 
 // Where a task starts.
@@ -39,23 +39,31 @@
   bool spot = false;
 };
 
+// Checks PROTOCOL's rules against what workers and users observe, and collects violations.
 class Rules {
  public:
   Rules(WorkerTerms terms, std::vector<Team> teams) : terms_(terms), limits_{{std::move(teams)}} {}
-  Work& add(JobSpec spec, double run_s, Time now);
-  [[nodiscard]] const Work& work(const JobId& id) const { return works_.at(id); }
-  [[nodiscard]] std::map<JobId, Work>& works() { return works_; }
-  [[nodiscard]] const std::map<JobId, Work>& works() const { return works_; }
-  [[nodiscard]] const Work* find(const JobId& id) const;
+  // Registers a job that a user is about to submit.
+  SubmittedJob& add(JobSpec spec, double run_s, Time now);
+  [[nodiscard]] const SubmittedJob& job(const JobId& id) const { return jobs_.at(id); }
+  [[nodiscard]] std::map<JobId, SubmittedJob>& jobs() { return jobs_; }
+  [[nodiscard]] const std::map<JobId, SubmittedJob>& jobs() const { return jobs_; }
+  [[nodiscard]] const SubmittedJob* find(const JobId& id) const;
 
-  void starts(const TaskId& task, const Place& place, Time now);
-  void leaves(const TaskId& task, const MachineId& on);
-  void gang_runs(const JobId& job, Time now);
-  void completes(const TaskId& task);
-  [[nodiscard]] Ordinal sends() { return ++order_; }
+  // A task begins to run on a machine: checks dependencies, duplicate runs, placement, quota and cancellation.
+  void on_task_started(const TaskId& task, const Place& place, Time now);
+  // A task no longer runs on this machine.
+  void on_task_left(const TaskId& task, const MachineId& on);
+  // All tasks of a gang run.
+  void on_gang_running(const JobId& job, Time now);
+  // A task completed; repeated completions are ignored.
+  void on_task_completed(const TaskId& task);
+  // To be called when a user sends a request; the result is passed on with its response.
+  [[nodiscard]] Ordinal on_request_sent() { return ++order_; }
   // A user's answer to a request that was sent then; `phase` as PROTOCOL names it.
-  void told(const JobId& id, const std::string& phase, Ordinal sent, Time now);
-  void refused_forever(const JobId& id, int status, Ordinal sent, Time now);
+  void on_phase_reported(const JobId& id, const std::string& phase, Ordinal sent, Time now);
+  // A response (400, 404 or 422) by which the service denies knowing or accepting the job.
+  void on_permanent_refusal(const JobId& id, int status, Ordinal sent, Time now);
   // 200 for a job that nobody submitted.
   void on_unknown_job_known(const JobId& id, Time now);
   // From `now` on these limits are asked for; a start may go by the ones before for `in_force`.
@@ -63,14 +71,15 @@
   // The day is over.
   void finish(Time now);
   // With troubles over: whether it waits although a machine that fits has room and its team is under its limit.
-  void waits_beside_room(const JobId& id, bool so, Time now);
-  [[nodiscard]] bool calm() const { return calm_since_.has_value(); }
+  void check_neglected(const JobId& id, bool so, Time now);
+  [[nodiscard]] bool faults_over() const { return faults_over_since_.has_value(); }
+  // Whether the job's team may run so many more of its tasks.
   [[nodiscard]] bool within_limit(const JobId& id, std::uint32_t more_tasks) const;
   [[nodiscard]] std::set<std::uint32_t> on_machines(const JobId& id) const;  // tasks
   void tick(Time now);                                                       // what is on a machine too long
-  void all_faults_over(Time now) { calm_since_ = now; }
+  void all_faults_over(Time now) { faults_over_since_ = now; }
 
-  [[nodiscard]] const std::vector<std::string>& breaches() const { return breaches_; }
+  [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
   [[nodiscard]] std::size_t started() const { return started_; }
   [[nodiscard]] std::size_t tasks_on_machines() const;
   // Starts after their user was told of the cancellation, within cancel_s: a start was on its way. Later ones break a
@@ -83,7 +92,7 @@
 
  private:
   [[nodiscard]] bool asked_to_cancel(const JobId& id) const;
-  void breach(const std::string& what, Time now);
+  void report_violation(const std::string& what, Time now);
   void check_place(const TaskId& task, const Place& place, Time now);
   void check_limit(const std::string& team, Time now);
   [[nodiscard]] bool within(const Resources& limit, const Resources& used) const;
@@ -95,11 +104,11 @@
   using Holders = std::map<MachineId, std::string>;  // with their zones
   WorkerTerms terms_;
   std::vector<Limits> limits_;  // the newest last
-  std::map<JobId, Work> works_;
+  std::map<JobId, SubmittedJob> jobs_;
   std::map<JobId, std::map<std::uint32_t, Holders>> on_;  // tasks on machines
   std::map<std::string, Resources> used_;                 // by team
-  std::optional<Time> calm_since_;
-  std::vector<std::string> breaches_;
+  std::optional<Time> faults_over_since_;
+  std::vector<std::string> violations_;
   Ordinal order_ = 0;
   std::size_t started_ = 0, started_after_cancel_ = 0;
 };
--- a/stand_ins/store_model.hpp
+++ b/stand_ins/store_model.hpp
@@ -18,11 +18,13 @@
   std::size_t value_bytes = 1U << 30U, txn_changes = 1U << 20U;
 };
 
+// A response as it goes over HTTP.
 struct StoreReply {
   int status = 200;
   std::string body;
 };
 
+// The key-value store in memory, with leases and a bounded history for watches.
 class StoreModel {
  public:
   explicit StoreModel(StoreLimits limits = {});
@@ -34,6 +36,7 @@
   StoreReply answer(const std::string& method, const std::string& target, const std::string& body, Time now);
   // Carries a transaction out, if its conditions hold.
   StoreReply commit(const nlohmann::json& txn, Time now);
+  // A long poll for changes of keys with a prefix, after a revision.
   struct Watch {
     std::string prefix;
     std::uint64_t after = 0;
--- a/stand_ins/worker_model.cpp
+++ b/stand_ins/worker_model.cpp
@@ -34,14 +34,14 @@
   return std::max(now, image.ready);
 }
 
-void ImageCache::give_up(const std::string& image, Time now) {
+void ImageCache::abandon_fetch(const std::string& image, Time now) {
   std::erase_if(images_, [&](const Image& i) { return i.name == image && i.ready > now; });
 }
 
 // ---- a machine ----
 
-WorkerModel::WorkerModel(WorkerWorld& world, MachineTraits traits, Time boots)
-    : world_(world), traits_(std::move(traits)), boots_(boots), last_ok_(boots), images_(traits_.cache_gb) {}
+WorkerModel::WorkerModel(WorkerContext& world, MachineTraits traits, Time boots)
+    : world_(world), traits_(std::move(traits)), boots_(boots), lease_renewed_at_(boots), images_(traits_.cache_gb) {}
 
 const char* WorkerModel::name_of(Phase phase) {
   switch (phase) {
@@ -77,7 +77,7 @@
 }
 
 void WorkerModel::forget_all() {
-  for (const auto& [key, t] : tasks_) world_.rules.leaves(key.first, traits_.id);
+  for (const auto& [key, t] : tasks_) world_.rules.on_task_left(key.first, traits_.id);
   tasks_.clear();
   gang_tasks_ = 0;
 }
@@ -91,7 +91,7 @@
   forget_all();
   images_.clear();
   ++incarnation_;
-  last_ok_ = now;
+  lease_renewed_at_ = now;
   changed_ = true;
 }
 
@@ -103,16 +103,11 @@
     if (t.saved) s["saved"] = true;
     shards.push_back(std::move(s));
   }
-  return json{{"host", traits_.id.value()},
-              {"endpoint", traits_.endpoint},
-              {"breed", traits_.type},
-              {"yard", traits_.zone},
-              {"loaners", traits_.spot},
-              {"tenure", incarnation_},
-              {"tick", ++tick_},
-              {"baton", token_},
-              {"recallS", nullptr},
-              {"shards", shards}}
+  return json{{"host", traits_.id.value()}, {"endpoint", traits_.endpoint},
+              {"breed", traits_.type},      {"yard", traits_.zone},
+              {"loaners", traits_.spot},    {"tenure", incarnation_},
+              {"tick", ++sequence_},        {"baton", token_},
+              {"recallS", nullptr},         {"shards", shards}}
       .dump();
 }
 
@@ -122,7 +117,7 @@
   if (token < token_) return false;
   if (token > token_) changed_ = true;
   token_ = token;
-  last_ok_ = std::max(last_ok_, sent);
+  lease_renewed_at_ = std::max(lease_renewed_at_, sent);
   execute(body.at("orders"), now);
   return true;
 }
@@ -139,8 +134,8 @@
   return {needs_cycle ? 409 : 200, report(), !needs_cycle};
 }
 
-void WorkerModel::execute(const json& orders, Time now) {
-  for (const auto& o : orders) {
+void WorkerModel::execute(const json& command_list, Time now) {
+  for (const auto& o : command_list) {
     const auto task = wire::parse_task_id(o.at("shard").get<std::string>());
     const Key key{*task, o.at("try").get<std::uint64_t>()};
     const auto it = tasks_.find(key);
@@ -153,7 +148,7 @@
 
 void WorkerModel::begin_task(const Key& key, Time now) {
   changed_ = true;
-  OnMachine t;
+  TaskOnMachine t;
   t.since = t.until = now;
   const auto* work = world_.rules.find(key.first.job);
   const bool busy = std::ranges::any_of(
@@ -175,7 +170,7 @@
   tasks_.emplace(key, t);
 }
 
-void WorkerModel::end_task(OnMachine& t, const Key& key, const char* cause, Time now) {
+void WorkerModel::end_task(TaskOnMachine& t, const Key& key, const char* cause, Time now) {
   const bool fetching = t.phase == Phase::fetching;
   const bool was_on = !fetching && t.phase != Phase::ended;
   const auto& spec = spec_of(key);
@@ -183,15 +178,15 @@
   t.phase = Phase::ended;
   t.cause = cause;
   changed_ = true;
-  if (was_on) world_.rules.leaves(key.first, traits_.id);
+  if (was_on) world_.rules.on_task_left(key.first, traits_.id);
   if (!fetching) return;
   const bool wanted = std::ranges::any_of(tasks_, [&](const auto& other) {
     return other.second.phase == Phase::fetching && spec_of(other.first).image == spec.image;
   });
-  if (!wanted) images_.give_up(spec.image, now);
+  if (!wanted) images_.abandon_fetch(spec.image, now);
 }
 
-void WorkerModel::stop_task(OnMachine& t, const Key& key, double grace_s, Time now) {
+void WorkerModel::stop_task(TaskOnMachine& t, const Key& key, double grace_s, Time now) {
   if (t.phase == Phase::ended || (t.phase == Phase::saving && grace_s > 0)) return;
   const auto& spec = spec_of(key);
   const bool saves =
@@ -202,19 +197,19 @@
   changed_ = true;
 }
 
-void WorkerModel::step_task(const Key& key, OnMachine& t, Time now) {
+void WorkerModel::step_task(const Key& key, TaskOnMachine& t, Time now) {
   if (t.phase == Phase::ended) return;
-  const auto& work = world_.rules.work(key.first.job);
+  const auto& work = world_.rules.job(key.first.job);
   const bool gang = work.spec.kind == JobKind::gang;
   if (t.phase == Phase::fetching && now >= t.until) {
     t.phase = gang ? Phase::gathering : Phase::running;
     t.since = now;
     t.until =
         now + seconds(work.completed.contains(key.first.index) ? 0 : work.run_s + work.stagger_s * key.first.index);
-    world_.rules.starts(key.first, {traits_.id, traits_.type, traits_.zone, traits_.spot}, now);
+    world_.rules.on_task_started(key.first, {traits_.id, traits_.type, traits_.zone, traits_.spot}, now);
     changed_ = true;
   } else if (t.phase == Phase::running && !gang && now >= t.until) {
-    world_.rules.completes(key.first);
+    world_.rules.on_task_completed(key.first);
     end_task(t, key, "done", now);
   } else if (t.phase == Phase::saving && now >= t.until) {
     t.saved = true;
@@ -229,11 +224,11 @@
 void WorkerModel::tick(Time now, bool hangs) {
   if (!up(now)) return;
   // One that hangs may go on within its lease, and no longer.
-  if (now - last_ok_ > seconds(world_.terms.lease_s)) {
+  if (now - lease_renewed_at_ > seconds(world_.terms.lease_s)) {
     lost_to_lease_ += tasks_.size();
     forget_all();
     ++incarnation_;
-    last_ok_ = now;
+    lease_renewed_at_ = now;
     changed_ = true;
   }
   if (hangs) return;
@@ -249,12 +244,12 @@
     const auto at = static_cast<std::size_t>(named - controllers.begin());
     if (named != controllers.end() && at != target) {
       target = at;
-      next_report = now;
+      next_heartbeat = now;
       return false;
     }
   }
   target = (target + 1) % controllers.size();
-  next_report = now + next_node_after;
+  next_heartbeat = now + next_node_after;
   return false;
 }
 
@@ -264,7 +259,7 @@
   struct Member {
     WorkerModel* worker;
     WorkerModel::Key key;
-    WorkerModel::OnMachine* task;
+    WorkerModel::TaskOnMachine* task;
   };
   using Phase = WorkerModel::Phase;
   std::map<std::pair<JobId, std::uint64_t>, std::vector<Member>> gangs;
@@ -277,7 +272,7 @@
   }
   for (auto& [gang, members] : gangs) {
     auto& world = members.front().worker->world_;
-    const auto& work = world.rules.work(gang.first);
+    const auto& work = world.rules.job(gang.first);
     const auto in = [&](Phase phase) {
       return static_cast<std::size_t>(
           std::ranges::count_if(members, [&](const Member& m) { return m.task->phase == phase; }));
@@ -288,10 +283,10 @@
         m.task->until = now + seconds(work.run_s);
         m.worker->changed_ = true;
       }
-      world.rules.gang_runs(gang.first, now);
+      world.rules.on_gang_running(gang.first, now);
     } else if (in(Phase::running) == work.spec.tasks && now >= members.front().task->until) {
       for (auto& m : members) {
-        world.rules.completes(m.key.first);
+        world.rules.on_task_completed(m.key.first);
         m.worker->end_task(*m.task, m.key, "done", now);
       }
     } else if (in(Phase::running) > 0 && in(Phase::running) < work.spec.tasks) {
--- a/stand_ins/worker_model.hpp
+++ b/stand_ins/worker_model.hpp
@@ -22,7 +22,7 @@
 };
 
 // What workers share.
-struct WorkerWorld {
+struct WorkerContext {
   Rules& rules;
   WorkerTerms terms;
   std::function<double(const JobSpec&)> fetch_s;  // how long the image of such a job takes to come, drawn anew
@@ -34,7 +34,7 @@
   explicit ImageCache(double most_gb) : most_gb_(most_gb) {}
   // When the image is there; `fetch` is the time of a fetch that has to begin now.
   Time ready_at(const JobSpec& spec, Time now, const std::function<Duration()>& fetch);
-  void give_up(const std::string& image, Time now);  // no task waits for it any more
+  void abandon_fetch(const std::string& image, Time now);  // no task waits for it any more
   void clear() { images_.clear(); }
 
  private:
@@ -47,9 +47,10 @@
   std::vector<Image> images_;  // most recently used first
 };
 
+// State and behaviour of one worker: lease, incarnation, fencing token, and the tasks on its machine.
 class WorkerModel {
  public:
-  WorkerModel(WorkerWorld& world, MachineTraits traits, Time boots);
+  WorkerModel(WorkerContext& world, MachineTraits traits, Time boots);
   void tick(Time now, bool hangs);  // tasks, and the end of its lease; a machine that hangs only loses its lease
   void take_away();                 // the machine and all that is on it are gone
   void restart(Time now);           // the same machine anew: all tasks gone, the next session
@@ -72,7 +73,9 @@
   void set_endpoint(std::string endpoint) { traits_.endpoint = std::move(endpoint); }
   [[nodiscard]] bool up(Time now) const { return !gone_ && now >= boots_; }
   [[nodiscard]] bool gone() const { return gone_; }
+  // Whether any task on it has not ended.
   [[nodiscard]] bool busy() const;
+  // What the tasks that have not ended leave of the machine.
   [[nodiscard]] Resources free() const;
   [[nodiscard]] bool has(const JobId& job) const;  // a task of it, in any state but ended
   [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
@@ -81,7 +84,7 @@
 
  private:
   enum class Phase { fetching, gathering, running, saving, ended };
-  struct OnMachine {
+  struct TaskOnMachine {
     Phase phase = Phase::fetching;
     std::string cause;
     bool saved = false;
@@ -90,24 +93,24 @@
   };
   using Key = std::pair<TaskId, std::uint64_t>;  // with the attempt
   static const char* name_of(Phase phase);
-  void execute(const nlohmann::json& orders, Time now);
+  void execute(const nlohmann::json& command_list, Time now);
   void begin_task(const Key& key, Time now);
-  void stop_task(OnMachine& task, const Key& key, double grace_s, Time now);
-  void end_task(OnMachine& task, const Key& key, const char* cause, Time now);
-  void step_task(const Key& key, OnMachine& task, Time now);
+  void stop_task(TaskOnMachine& task, const Key& key, double grace_s, Time now);
+  void end_task(TaskOnMachine& task, const Key& key, const char* cause, Time now);
+  void step_task(const Key& key, TaskOnMachine& task, Time now);
   void forget_all();
-  [[nodiscard]] const JobSpec& spec_of(const Key& key) const { return world_.rules.work(key.first.job).spec; }
+  [[nodiscard]] const JobSpec& spec_of(const Key& key) const { return world_.rules.job(key.first.job).spec; }
   friend class Gangs;
 
-  WorkerWorld& world_;
+  WorkerContext& world_;
   MachineTraits traits_;
   Time boots_;
   bool gone_ = false;
-  std::uint64_t incarnation_ = 1, tick_ = 0, token_ = 0;
-  Time last_ok_{};
+  std::uint64_t incarnation_ = 1, sequence_ = 0, token_ = 0;
+  Time lease_renewed_at_{};
   bool changed_ = false;
   ImageCache images_;
-  std::map<Key, OnMachine> tasks_;
+  std::map<Key, TaskOnMachine> tasks_;
   std::size_t gang_tasks_ = 0;  // not ended
   std::size_t lost_to_lease_ = 0;
 };
@@ -115,7 +118,7 @@
 // Where a worker reports to, and when next.
 struct HeartbeatRoute {
   std::size_t target = 0;  // of the controllers
-  Time next_report{};
+  Time next_heartbeat{};
   // PROTOCOL's table of responses; `status` 0: none in time. True for a 200, which the worker itself may still drop.
   bool follow(int status, const nlohmann::json& body, const std::vector<std::string>& controllers, Time now);
 };
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "config/configuration_document.hpp"
-#include "region/busy.hpp"
+#include "region/busy_region.hpp"
 #include "service/configuration_command.hpp"
 #include "wire/configuration_codec.hpp"
 #include "wire/user_codec.hpp"
@@ -15,7 +15,7 @@
 namespace {
 
 using nlohmann::json;
-using region::Busy;
+using region::BusyRegion;
 using region::Region;
 using Ask = wire::ConfigurationRequest::Ask;
 
@@ -165,51 +165,51 @@
 
 double gpus_on_machines(Region& r) {
   double sum = 0;
-  for (const auto& [id, work] : r.rules().works()) {
+  for (const auto& [id, work] : r.rules().jobs()) {
     sum += static_cast<double>(r.rules().on_machines(id).size()) * work.spec.need.gpus;
   }
   return sum;
 }
 
 TEST(configuration, costs_nothing_where_it_is_not_used) {
-  Busy b{201};
-  const auto reads = b.r.store().reads_of(wire::configuration_key);
+  BusyRegion busy{201};
+  const auto reads = busy.r.store().reads_of(wire::configuration_key);
   EXPECT_LE(reads, 4U) << "one a process, one a leader";
-  b.r.run(60);
-  EXPECT_EQ(reads, b.r.store().reads_of(wire::configuration_key));
+  busy.r.run(60);
+  EXPECT_EQ(reads, busy.r.store().reads_of(wire::configuration_key));
 }
 
 TEST(configuration, the_first_change_needs_the_confirmation_of_all_nodes) {
-  Busy b{202};
-  Region& r = b.r;
-  const auto other = r.others_of(b.old, 1);
+  BusyRegion busy{202};
+  Region& r = busy.r;
+  const auto other = r.others_of(busy.old_leader, 1);
   r.kill(other);
-  const auto refused = r.configure(b.old, change(red(900)));
+  const auto refused = r.configure(busy.old_leader, change(red(900)));
   ASSERT_TRUE(refused);
   EXPECT_EQ(503, refused->status) << refused->body;
   EXPECT_FALSE(r.store().has(wire::configuration_key));
   r.start(other);
   r.run(3);
-  const auto applied = r.configure(r.others_of(b.old, 2), change(red(900)));
+  const auto applied = r.configure(r.others_of(busy.old_leader, 2), change(red(900)));
   ASSERT_TRUE(applied);
   EXPECT_EQ(200, applied->status) << applied->body;
   EXPECT_TRUE(r.run_until(2, [&] { return all_have(r, 1); }));
   // Later ones need nobody's; a node that begins anew finds it.
   r.kill(other);
-  ASSERT_EQ(200, r.configure(b.old, change(red(901)))->status);
+  ASSERT_EQ(200, r.configure(busy.old_leader, change(red(901)))->status);
   r.start(other);
   EXPECT_TRUE(r.run_until(3, [&] { return all_have(r, 2); }));
-  b.ends_well(300);
+  busy.ends_well(300);
 }
 
 // It gave its word, but the process that did is gone: the new one reads nothing unless the transaction fails.
 TEST(configuration, a_process_replaced_after_its_confirmation_makes_the_first_change_fail) {
-  Busy b{217};
-  Region& r = b.r;
-  const auto other = r.others_of(b.old, 1);
+  BusyRegion busy{217};
+  Region& r = busy.r;
+  const auto other = r.others_of(busy.old_leader, 1);
   r.store().make_late([](std::size_t, const json& txn) { return region::sets(txn, wire::configuration_key); },
                       seconds(3));
-  r.configure_later(b.old, change(red(900)));
+  r.configure_later(busy.old_leader, change(red(900)));
   r.run(0.5);
   ASSERT_TRUE(r.context(other).validity.follows()) << "its word was given";
   r.kill(other);
@@ -217,22 +217,22 @@
   r.run(8);
   EXPECT_EQ(1U, r.store().late_refused()) << "the first try";
   EXPECT_TRUE(all_have(r, 1)) << "the next one has the new process's word";
-  b.ends_well(300);
+  busy.ends_well(300);
 }
 
 TEST(configuration, a_limit_lowered_below_what_runs) {
-  Busy b{203, {}, 60};
-  Region& r = b.r;
+  BusyRegion busy{203, {}, 60};
+  Region& r = busy.r;
   EXPECT_EQ(24, gpus_on_machines(r));
-  lower(r, b.old, 10);
+  lower(r, busy.old_leader, 10);
   EXPECT_TRUE(r.run_until(8, [&] { return gpus_on_machines(r) <= 10; })) << "what is beyond is brought down";
   r.run(20);
   EXPECT_LE(gpus_on_machines(r), 10);
   EXPECT_GE(gpus_on_machines(r), 9) << "and no more than that";
   r.rules().change_limits({{"red", {0, 16, 0}, {0, 1000, 0}}}, r.now(), in_force);
-  ASSERT_EQ(200, r.configure(b.old, change(red(1000)))->status);
+  ASSERT_EQ(200, r.configure(busy.old_leader, change(red(1000)))->status);
   EXPECT_TRUE(r.run_until(20, [&] { return gpus_on_machines(r) >= 20; })) << "raised again, the rest goes on";
-  b.ends_well(400);
+  busy.ends_well(400);
 }
 
 TEST(configuration, a_gang_beyond_the_limit_is_stopped_whole) {
@@ -253,73 +253,74 @@
   ASSERT_EQ(200, r.configure(*r.leader(), change({{"teams", nullptr}}))->status);
   r.rules().all_faults_over(r.now());
   EXPECT_TRUE(r.run_until(200, [&] { return r.all_over(); }));
-  EXPECT_EQ("", r.breaches());
+  EXPECT_EQ("", r.violations());
 }
 
 TEST(configuration, a_team_that_is_removed_keeps_its_jobs_known) {
-  Busy b{205, {}, 60};
-  Region& r = b.r;
+  BusyRegion busy{205, {}, 60};
+  Region& r = busy.r;
   r.rules().change_limits({}, r.now(), in_force);
-  ASSERT_EQ(200, r.configure(b.old, change({{"teams", {{"red", nullptr}}}}))->status);
+  ASSERT_EQ(200, r.configure(busy.old_leader, change({{"teams", {{"red", nullptr}}}}))->status);
   EXPECT_TRUE(r.run_until(10, [&] { return gpus_on_machines(r) == 0; }));
   for (std::size_t c = 0; c < r.controllers(); ++c) {
-    const auto& id = b.jobs.front();
+    const auto& id = busy.jobs.front();
     const auto poll = r.request(c, "GET", "/api/jobs/" + id.value(), "");
     EXPECT_EQ(200, poll.status);
     EXPECT_EQ("team red is not configured", json::parse(poll.body).value("waits", "")) << "told by every node";
     r.submit_again(id, c);
   }
   r.run(3);
-  EXPECT_EQ("", r.breaches()) << "a repeat is not refused";
+  EXPECT_EQ("", r.violations()) << "a repeat is not refused";
   r.rules().change_limits({{"red", {0, 16, 0}, {0, 1000, 0}}}, r.now(), in_force);
-  ASSERT_EQ(200, r.configure(b.old, change({{"teams", {{"red", {{"gpus", 16}, {"gpus_max", 1000}}}}}}))->status);
-  b.ends_well(400);
+  ASSERT_EQ(200,
+            r.configure(busy.old_leader, change({{"teams", {{"red", {{"gpus", 16}, {"gpus_max", 1000}}}}}}))->status);
+  busy.ends_well(400);
 }
 
 TEST(configuration, the_leader_ends_between_commit_and_force) {
   for (std::uint64_t seed : {206, 207, 208}) {
-    Busy b{seed, {}, 60};
-    Region& r = b.r;
-    ASSERT_EQ(200, r.configure(b.old, change(red(999)))->status);
+    BusyRegion busy{seed, {}, 60};
+    Region& r = busy.r;
+    ASSERT_EQ(200, r.configure(busy.old_leader, change(red(999)))->status);
     r.rules().change_limits({{"red", {0, 16, 0}, {0, 10, 0}}}, r.now(), in_force);
-    const auto follower = r.others_of(b.old, 1);
+    const auto follower = r.others_of(busy.old_leader, 1);
     bool killed = false;
     r.store().on_commit = [&](const json& txn, bool) { killed = killed || region::sets(txn, wire::configuration_key); };
     r.configure_later(follower, change(red(10)));
     ASSERT_TRUE(r.run_until(10, [&] { return killed; }));
-    r.kill_for(b.old, 2);
+    r.kill_for(busy.old_leader, 2);
     r.store().on_commit = nullptr;
     EXPECT_TRUE(r.run_until(15, [&] { return r.leader() && gpus_on_machines(r) <= 10; }));
     EXPECT_TRUE(r.run_until(5, [&] { return all_have(r, 2); })) << "the new process too";
     r.rules().change_limits({{"red", {0, 16, 0}, {0, 1000, 0}}}, r.now(), in_force);
     ASSERT_EQ(200, r.configure(follower, change(red(1000)))->status);
-    b.ends_well(400);
+    busy.ends_well(400);
   }
 }
 
 TEST(configuration, a_change_of_unknown_outcome_is_applied_once_and_reported) {
   for (const double late : {0.0, 3.0}) {
-    Busy b{static_cast<std::uint64_t>(210 + late)};
-    Region& r = b.r;
-    ASSERT_EQ(200, r.configure(b.old, change(red(999)))->status);
+    BusyRegion busy{static_cast<std::uint64_t>(210 + late)};
+    Region& r = busy.r;
+    ASSERT_EQ(200, r.configure(busy.old_leader, change(red(999)))->status);
     r.store().make_late([](std::size_t, const json& txn) { return region::sets(txn, wire::configuration_key); },
                         seconds(late));
-    const auto reply = r.configure(b.old, change(red(500)));
+    const auto reply = r.configure(busy.old_leader, change(red(500)));
     ASSERT_TRUE(reply);
     EXPECT_EQ(200, reply->status) << reply->body;
     EXPECT_EQ(2, json::parse(reply->body).at("version"));
     r.run(8);
     EXPECT_TRUE(all_have(r, 2)) << "once, whenever its first try came through";
     EXPECT_EQ(1U, r.store().late() + r.store().late_refused());
-    b.ends_well(300);
+    busy.ends_well(300);
   }
 }
 
 TEST(configuration, changes_that_race_are_applied_one_after_the_other) {
-  Busy b{214};
-  Region& r = b.r;
-  ASSERT_EQ(200, r.configure(b.old, change(red(999)))->status);
-  const auto outdated = r.configure(b.old, change(red(5), 0));
+  BusyRegion busy{214};
+  Region& r = busy.r;
+  ASSERT_EQ(200, r.configure(busy.old_leader, change(red(999)))->status);
+  const auto outdated = r.configure(busy.old_leader, change(red(5), 0));
   EXPECT_EQ(409, outdated->status);
   EXPECT_EQ(1, json::parse(outdated->body).at("version"));
   for (std::size_t c = 0; c < r.controllers(); ++c) {
@@ -332,36 +333,36 @@
   EXPECT_TRUE(r.run_until(8, [&] { return all_have(r, 16); })) << "fifteen more, none lost, none twice";
   wire::ConfigurationRequest history;
   history.ask = Ask::history;
-  const auto told = json::parse(r.configure(b.old, history)->body).at("changes");
+  const auto told = json::parse(r.configure(busy.old_leader, history)->body).at("changes");
   ASSERT_EQ(16U, told.size());
   for (std::size_t i = 0; i < told.size(); ++i) EXPECT_EQ(16 - i, told[i].at("version"));
   EXPECT_LT(r.store().reads_of(wire::configuration_key), 200U);
-  b.ends_well(300);
+  busy.ends_well(300);
 }
 
 TEST(configuration, invalid_or_tried_changes_leave_the_version) {
-  Busy b{215};
-  Region& r = b.r;
-  ASSERT_EQ(200, r.configure(b.old, change(red(999)))->status);
-  const auto bad = r.configure(b.old, change(red(-1)));
+  BusyRegion busy{215};
+  Region& r = busy.r;
+  ASSERT_EQ(200, r.configure(busy.old_leader, change(red(999)))->status);
+  const auto bad = r.configure(busy.old_leader, change(red(-1)));
   EXPECT_EQ(400, bad->status);
   EXPECT_NE(std::string::npos, bad->body.find("teams.red.gpus_max"));
   auto tried = change(red(7));
   tried.dry_run = true;
-  const auto dry = json::parse(r.configure(b.old, tried)->body);
+  const auto dry = json::parse(r.configure(busy.old_leader, tried)->body);
   EXPECT_EQ(7, dry.at("after").at("teams").at("red").at("gpus_max"));
-  EXPECT_EQ(200, r.configure(b.old, change(red(999)))->status) << "nothing to change";
+  EXPECT_EQ(200, r.configure(busy.old_leader, change(red(999)))->status) << "nothing to change";
   r.run(5);
   EXPECT_TRUE(all_have(r, 1));
 }
 
 TEST(configuration, a_node_that_cannot_know_decides_nothing) {
-  Busy b{216};
-  Region& r = b.r;
-  ASSERT_EQ(200, r.configure(b.old, change(red(999)))->status);
-  const auto cut = r.others_of(b.old, 1);
+  BusyRegion busy{216};
+  Region& r = busy.r;
+  ASSERT_EQ(200, r.configure(busy.old_leader, change(red(999)))->status);
+  const auto cut = r.others_of(busy.old_leader, 1);
   r.store().faults(cut).refuses_until = r.now() + seconds(20);
-  ASSERT_EQ(200, r.configure(b.old, change({{"teams", {{"green", {{"gpus_max", 4}}}}}}))->status);
+  ASSERT_EQ(200, r.configure(busy.old_leader, change({{"teams", {{"green", {{"gpus_max", 4}}}}}}))->status);
   JobSpec spec;
   spec.id = JobId{"job-900001"};
   spec.team = "green";
@@ -376,7 +377,7 @@
   r.run(20);
   EXPECT_TRUE(r.context(cut).may_decide());
   EXPECT_TRUE(all_have(r, 2));
-  b.ends_well(300);
+  busy.ends_well(300);
 }
 
 }  // namespace
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -87,13 +87,13 @@
   EXPECT_DOUBLE_EQ(p.deadline_min, deadline_curve(p, 300.1, 300, 100));
 }
 
-struct Two {
+struct TwoJobsAndMachines {
   Policy policy;
   Job early, late;
   MachineType type{"g", {8, 2, 64}, 50, 1, 10, 3, 40, {"a"}};
   Machine one{MachineId{"i-1"}}, two{MachineId{"i-2"}};
   PlacementProblem problem{Time{seconds(1000)}, policy, {}, {}};
-  Two() {
+  TwoJobsAndMachines() {
     for (auto* j : {&early, &late}) {
       j->spec.need = {1, 1, 1};
       j->spec.image = "img";
@@ -112,7 +112,7 @@
 };
 
 TEST(heuristics, the_deadline_curve_weighs_most) {
-  Two t;
+  TwoJobsAndMachines t;
   ScoreMatrix m{2, 2};
   heuristics::minimal_requirements(t.problem, m);
   heuristics::deadline(t.problem, m);
@@ -124,7 +124,7 @@
 }
 
 TEST(heuristics, a_machine_with_the_image_is_preferred) {
-  Two t;
+  TwoJobsAndMachines t;
   t.two.touch_image(t.early.image, 5, 50);
   const auto m = build_scores(t.problem);
   EXPECT_GT(m.at(0, 1), m.at(0, 0));
@@ -134,14 +134,14 @@
 // and with it the whole day (docs/results.md): the first in order must be taken whichever spoke first.
 TEST(heuristics, milliseconds_of_idleness_choose_no_machine) {
   for (const double first : {0.0, 0.1}) {
-    Two t;
+    TwoJobsAndMachines t;
     t.problem.idle_granularity_s = 3;
     t.one.idle_since = Time{seconds(990 + first)};
     t.two.idle_since = Time{seconds(990.1 - first)};
     const ScoreMatrix m = build_scores(t.problem);
     EXPECT_DOUBLE_EQ(m.at(0, 0), m.at(0, 1));
   }
-  Two t;
+  TwoJobsAndMachines t;
   t.problem.idle_granularity_s = 3;
   t.one.idle_since = Time{seconds(950)};
   t.two.idle_since = Time{seconds(990)};
@@ -180,7 +180,7 @@
 }
 
 TEST(heuristics, a_reserved_machine_fits_only_its_job) {
-  Two t;
+  TwoJobsAndMachines t;
   t.one.reserved_for = JobId{"job-other"};
   t.one.reserved_until = t.problem.now + seconds(5);
   const auto m = build_scores(t.problem);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -8,21 +8,21 @@
 namespace martenwall {
 namespace {
 
-struct Chain {
+struct DependencyFixture {
   Time now{seconds(1000)};
   std::vector<std::string> lines;
-  Scheduler s;
+  Scheduler scheduler;
   std::map<JobId, JobPhase> ends;  // in the store
 
-  Chain() : s(options(), [this](const std::string& line) { lines.push_back(line); }) {
-    s.set_types({{"g", {8, 4, 64}, 50, 1, 10, 3, 40, {"a"}}});
+  DependencyFixture() : scheduler(options(), [this](const std::string& line) { lines.push_back(line); }) {
+    scheduler.set_types({{"g", {8, 4, 64}, 50, 1, 10, 3, 40, {"a"}}});
   }
   static Scheduler::Options options() {
-    Scheduler::Options u;
-    u.terms = {3, 19, 50, 4, 39};
-    u.teams = {{"red", {0, 4, 0}, {0, 40, 0}}, {"wide", {}, {0, 1e6, 0}}};
-    u.token = FencingToken{50};
-    return u;
+    Scheduler::Options out;
+    out.terms = {3, 19, 50, 4, 39};
+    out.teams = {{"red", {0, 4, 0}, {0, 40, 0}}, {"wide", {}, {0, 1e6, 0}}};
+    out.token = FencingToken{50};
+    return out;
   }
   Job job(int n, const std::vector<int>& dependencies, double gpus = 1) const {
     Job j;
@@ -37,17 +37,19 @@
     return j;
   }
   static JobId id(int n) { return JobId{"job-" + std::to_string(n)}; }
-  void add(int n, const std::vector<int>& dependencies, double gpus = 1) { s.add_job(job(n, dependencies, gpus), now); }
+  void add(int n, const std::vector<int>& dependencies, double gpus = 1) {
+    scheduler.add_job(job(n, dependencies, gpus), now);
+  }
   JobPhase phase(int n) const {
-    const auto* j = s.find_job(id(n));
+    const auto* j = scheduler.find_job(id(n));
     return j == nullptr ? ends.at(id(n)) : j->phase;
   }
-  std::vector<RowWrite> take() { return s.take_writes(100, true, now + seconds(10)); }
+  std::vector<RowWrite> take() { return scheduler.take_writes(100, true, now + seconds(10)); }
   void store(const std::vector<RowWrite>& rows) {
     for (const auto& w : rows) {
       if (w.final_job) ends[w.final_job->id] = w.final_job->phase;
     }
-    s.on_rows_stored(rows, now);
+    scheduler.on_rows_stored(rows, now);
   }
   void store_all() {
     for (auto rows = take(); !rows.empty(); rows = take()) store(rows);
@@ -55,14 +57,14 @@
   void report(std::vector<TaskStatus> tasks) {
     auto r = report_of("i-1", HeartbeatSequence{++tick_});
     r.tasks = std::move(tasks);
-    s.on_heartbeat(r, StatusSource::heartbeat, now, true);
-    s.on_heartbeat_answered(r.machine, now);
+    scheduler.on_heartbeat(r, StatusSource::heartbeat, now, true);
+    scheduler.on_heartbeat_answered(r.machine, now);
   }
   void finish(int n) { report({{TaskId{id(n), 0}, Attempt{1}, TaskState::ended, ExitCause::done, false}}); }
   // The job's task is placed, started and done; its end is not stored yet.
   void run(int n) {
     report({});
-    s.run_cycle(now);
+    scheduler.run_cycle(now);
     store_all();
     finish(n);
   }
@@ -72,118 +74,119 @@
 };
 
 TEST(dependencies, a_job_starts_only_after_the_end_of_its_dependencies_is_stored) {
-  Chain c;
-  c.add(1, {});
-  c.add(2, {1});
-  EXPECT_EQ(JobPhase::waiting, c.phase(2));
-  EXPECT_EQ(JobPhase::pending, c.s.status(Chain::id(2))->phase);
-  c.run(1);
-  EXPECT_EQ(JobPhase::done, c.phase(1));
-  c.s.run_cycle(c.now);
-  EXPECT_EQ(JobPhase::waiting, c.phase(2)) << "in memory only: a successor would not know";
-  EXPECT_TRUE(c.s.find_job(Chain::id(2))->placed.empty());
-  c.store_all();
-  EXPECT_EQ(JobPhase::pending, c.phase(2));
-  c.s.run_cycle(c.now);
-  EXPECT_EQ(1U, c.s.find_job(Chain::id(2))->placed.size());
+  DependencyFixture fixture;
+  fixture.add(1, {});
+  fixture.add(2, {1});
+  EXPECT_EQ(JobPhase::waiting, fixture.phase(2));
+  EXPECT_EQ(JobPhase::pending, fixture.scheduler.status(DependencyFixture::id(2))->phase);
+  fixture.run(1);
+  EXPECT_EQ(JobPhase::done, fixture.phase(1));
+  fixture.scheduler.run_cycle(fixture.now);
+  EXPECT_EQ(JobPhase::waiting, fixture.phase(2)) << "in memory only: a successor would not know";
+  EXPECT_TRUE(fixture.scheduler.find_job(DependencyFixture::id(2))->placed.empty());
+  fixture.store_all();
+  EXPECT_EQ(JobPhase::pending, fixture.phase(2));
+  fixture.scheduler.run_cycle(fixture.now);
+  EXPECT_EQ(1U, fixture.scheduler.find_job(DependencyFixture::id(2))->placed.size());
 }
 
 // What is within its team's guarantee may stop what another team borrowed.
 TEST(dependencies, a_job_with_open_dependencies_uses_none_of_its_teams_guaranteed_quota) {
-  Chain c;
-  Job guest = c.job(9, {}, 4);
+  DependencyFixture fixture;
+  Job guest = fixture.job(9, {}, 4);
   guest.spec.team = "wide";
-  c.s.add_job(guest, c.now);
-  c.report({});
-  c.s.run_cycle(c.now);
-  c.store_all();
-  c.report({});
-  c.report({{TaskId{Chain::id(9), 0}, Attempt{1}, TaskState::running, ExitCause::none, false}});
-  c.add(1, {}, 0);
-  c.add(2, {1}, 4);  // with it, nothing after it would fit into the guarantee of 4
-  c.add(3, {});
-  c.s.run_cycle(c.now);
-  EXPECT_EQ(2U, c.s.last_cycle().jobs);
-  const auto& placed = c.s.machines().at(MachineId{"i-1"}).placements;
-  EXPECT_TRUE(placed.front().task.job == Chain::id(9) && placed.front().stop_requested);
+  fixture.scheduler.add_job(guest, fixture.now);
+  fixture.report({});
+  fixture.scheduler.run_cycle(fixture.now);
+  fixture.store_all();
+  fixture.report({});
+  fixture.report({{TaskId{DependencyFixture::id(9), 0}, Attempt{1}, TaskState::running, ExitCause::none, false}});
+  fixture.add(1, {}, 0);
+  fixture.add(2, {1}, 4);  // with it, nothing after it would fit into the guarantee of 4
+  fixture.add(3, {});
+  fixture.scheduler.run_cycle(fixture.now);
+  EXPECT_EQ(2U, fixture.scheduler.last_cycle().jobs);
+  const auto& placed = fixture.scheduler.machines().at(MachineId{"i-1"}).placements;
+  EXPECT_TRUE(placed.front().task.job == DependencyFixture::id(9) && placed.front().stop_requested);
 }
 
 TEST(dependencies, a_stored_cancellation_cancels_all_dependents) {
-  Chain c;
-  c.add(1, {});
-  c.add(2, {1});
-  c.add(3, {2});
-  c.add(4, {1, 3});
-  c.add(5, {});
-  ASSERT_TRUE(c.s.cancel(Chain::id(1), c.now));
+  DependencyFixture fixture;
+  fixture.add(1, {});
+  fixture.add(2, {1});
+  fixture.add(3, {2});
+  fixture.add(4, {1, 3});
+  fixture.add(5, {});
+  ASSERT_TRUE(fixture.scheduler.cancel(DependencyFixture::id(1), fixture.now));
   // Stored before the root's, their ends would stand without a reason if this leader ended now.
-  const auto first = c.take();
+  const auto first = fixture.take();
   ASSERT_EQ(1U, first.size());
-  EXPECT_EQ(Chain::id(1), first[0].final_job->id);
-  EXPECT_EQ(JobPhase::waiting, c.phase(2));
-  c.store(first);
-  EXPECT_FALSE(c.s.is_cascade_stored(Chain::id(1)));
-  EXPECT_FALSE(c.s.status(Chain::id(3))) << "its end is not stored yet, but it must not be called active either";
-  c.store_all();
-  EXPECT_TRUE(c.s.is_cascade_stored(Chain::id(1)));
-  for (const int n : {1, 2, 3, 4}) EXPECT_EQ(JobPhase::cancelled, c.ends.at(Chain::id(n)));
-  EXPECT_FALSE(c.ends.contains(Chain::id(5)));
+  EXPECT_EQ(DependencyFixture::id(1), first[0].final_job->id);
+  EXPECT_EQ(JobPhase::waiting, fixture.phase(2));
+  fixture.store(first);
+  EXPECT_FALSE(fixture.scheduler.is_cascade_stored(DependencyFixture::id(1)));
+  EXPECT_FALSE(fixture.scheduler.status(DependencyFixture::id(3)))
+      << "its end is not stored yet, but it must not be called active either";
+  fixture.store_all();
+  EXPECT_TRUE(fixture.scheduler.is_cascade_stored(DependencyFixture::id(1)));
+  for (const int n : {1, 2, 3, 4}) EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(n)));
+  EXPECT_FALSE(fixture.ends.contains(DependencyFixture::id(5)));
 }
 
 TEST(dependencies, a_cancellation_that_lost_to_completion_cancels_no_dependents) {
-  Chain c;
-  c.add(1, {});
-  c.add(2, {1});
-  c.run(1);
-  c.s.cancel(Chain::id(1), c.now);
-  c.store_all();
-  EXPECT_EQ(JobPhase::done, c.ends.at(Chain::id(1)));
-  EXPECT_EQ(JobPhase::pending, c.phase(2));
+  DependencyFixture fixture;
+  fixture.add(1, {});
+  fixture.add(2, {1});
+  fixture.run(1);
+  fixture.scheduler.cancel(DependencyFixture::id(1), fixture.now);
+  fixture.store_all();
+  EXPECT_EQ(JobPhase::done, fixture.ends.at(DependencyFixture::id(1)));
+  EXPECT_EQ(JobPhase::pending, fixture.phase(2));
 }
 
 TEST(dependencies, an_unknown_dependency_is_looked_up_and_waited_for) {
-  Chain c;
-  c.add(3, {1, 2});
-  EXPECT_EQ((std::vector{Chain::id(1), Chain::id(2)}), c.s.take_lookups());
-  EXPECT_TRUE(c.s.take_lookups().empty());
-  EXPECT_FALSE(c.s.status(Chain::id(3))) << "one of them may be cancelled";
-  c.s.on_end_looked_up(Chain::id(1), JobPhase::done, c.now);
-  c.s.retry_lookup(Chain::id(2));
-  EXPECT_EQ(std::vector{Chain::id(2)}, c.s.take_lookups());
-  EXPECT_EQ(JobPhase::waiting, c.phase(3));
-  c.s.on_end_looked_up(Chain::id(2), JobPhase::done, c.now);
-  EXPECT_EQ(JobPhase::pending, c.phase(3));
+  DependencyFixture fixture;
+  fixture.add(3, {1, 2});
+  EXPECT_EQ((std::vector{DependencyFixture::id(1), DependencyFixture::id(2)}), fixture.scheduler.take_lookups());
+  EXPECT_TRUE(fixture.scheduler.take_lookups().empty());
+  EXPECT_FALSE(fixture.scheduler.status(DependencyFixture::id(3))) << "one of them may be cancelled";
+  fixture.scheduler.on_end_looked_up(DependencyFixture::id(1), JobPhase::done, fixture.now);
+  fixture.scheduler.retry_lookup(DependencyFixture::id(2));
+  EXPECT_EQ(std::vector{DependencyFixture::id(2)}, fixture.scheduler.take_lookups());
+  EXPECT_EQ(JobPhase::waiting, fixture.phase(3));
+  fixture.scheduler.on_end_looked_up(DependencyFixture::id(2), JobPhase::done, fixture.now);
+  EXPECT_EQ(JobPhase::pending, fixture.phase(3));
 }
 
 TEST(dependencies, a_job_that_depends_on_a_cancelled_one_is_cancelled_at_once) {
-  Chain c;
-  c.add(2, {1});
-  c.add(3, {2});
-  (void)c.s.take_lookups();
-  c.s.on_end_looked_up(Chain::id(1), JobPhase::cancelled, c.now);
-  c.store_all();
-  EXPECT_EQ(JobPhase::cancelled, c.ends.at(Chain::id(2)));
-  EXPECT_EQ(JobPhase::cancelled, c.ends.at(Chain::id(3)));
+  DependencyFixture fixture;
+  fixture.add(2, {1});
+  fixture.add(3, {2});
+  (void)fixture.scheduler.take_lookups();
+  fixture.scheduler.on_end_looked_up(DependencyFixture::id(1), JobPhase::cancelled, fixture.now);
+  fixture.store_all();
+  EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(2)));
+  EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(3)));
 }
 
 // Only the last job of a pipeline has the deadline and the rank that its user cares about.
 TEST(dependencies, a_job_is_as_urgent_as_its_most_urgent_dependent) {
-  Chain c;
-  c.add(1, {});
-  Job last = c.job(3, {2});
+  DependencyFixture fixture;
+  fixture.add(1, {});
+  Job last = fixture.job(3, {2});
   last.spec.priority = Priority::high;
   last.spec.deadline_s = 100;
   last.spec.estimate_s = 10;
-  Job middle = c.job(2, {1});
+  Job middle = fixture.job(2, {1});
   middle.spec.estimate_s = 20;
-  c.s.add_job(middle, c.now);
-  c.s.add_job(last, c.now);
-  const auto& first = *c.s.find_job(Chain::id(1));
+  fixture.scheduler.add_job(middle, fixture.now);
+  fixture.scheduler.add_job(last, fixture.now);
+  const auto& first = *fixture.scheduler.find_job(DependencyFixture::id(1));
   EXPECT_EQ(Priority::high, first.priority);
   ASSERT_TRUE(first.effective_deadline.has_value());
-  EXPECT_LT(*first.effective_deadline, c.now + seconds(100 - 10 - 20));
-  EXPECT_GT(*first.effective_deadline, c.now + seconds(100 - 10 - 20 - 10));
-  c.s.cancel(Chain::id(3), c.now);
+  EXPECT_LT(*first.effective_deadline, fixture.now + seconds(100 - 10 - 20));
+  EXPECT_GT(*first.effective_deadline, fixture.now + seconds(100 - 10 - 20 - 10));
+  fixture.scheduler.cancel(DependencyFixture::id(3), fixture.now);
   EXPECT_EQ(Priority::normal, first.priority);
   EXPECT_FALSE(first.effective_deadline.has_value());
 }
@@ -192,7 +195,7 @@
 // comes to the same: a job is cancelled if and only if it needs one that a user cancelled.
 RC_GTEST_PROP(dependencies, a_new_leader_finishes_cancelling_dependents,
               (const std::vector<std::vector<std::uint8_t>>& graph)) {
-  Chain c;
+  DependencyFixture fixture;
   std::vector<std::vector<int>> dependencies;
   for (const auto& names : graph) {
     const int n = static_cast<int>(dependencies.size());
@@ -203,40 +206,41 @@
     std::ranges::sort(dependencies.back());
     const auto rest = std::ranges::unique(dependencies.back());
     dependencies.back().erase(rest.begin(), rest.end());
-    c.add(n, dependencies.back());
+    fixture.add(n, dependencies.back());
   }
   const int count = static_cast<int>(dependencies.size());
   RC_PRE(count > 0);
   std::set<int> gone;
   for (const int n : *rc::gen::container<std::vector<int>>(2, rc::gen::inRange(0, count))) {
-    if (!c.s.cancel(Chain::id(n), c.now)) continue;
+    if (!fixture.scheduler.cancel(DependencyFixture::id(n), fixture.now)) continue;
     gone.insert(n);
   }
   const auto writes = *rc::gen::inRange(0, 6);
   for (int i = 0; i < writes; ++i) {
-    const auto some = c.s.take_writes(1, true, c.now);
-    c.store(some);
+    const auto some = fixture.scheduler.take_writes(1, true, fixture.now);
+    fixture.store(some);
   }
   std::set<int> expected;
   for (int n = 0; n < count; ++n) {
-    const bool told = gone.contains(n) && c.ends.contains(Chain::id(n));
+    const bool told = gone.contains(n) && fixture.ends.contains(DependencyFixture::id(n));
     const bool needs =
         std::ranges::any_of(dependencies[static_cast<std::size_t>(n)], [&](int a) { return expected.contains(a); });
     if (told || needs) expected.insert(n);
   }
-  Chain next;
-  next.ends = c.ends;
+  DependencyFixture next;
+  next.ends = fixture.ends;
   for (int n = 0; n < count; ++n) {
-    if (!c.ends.contains(Chain::id(n)))
-      next.s.load_job(next.job(n, dependencies[static_cast<std::size_t>(n)]), next.now);
+    if (!fixture.ends.contains(DependencyFixture::id(n)))
+      next.scheduler.load_job(next.job(n, dependencies[static_cast<std::size_t>(n)]), next.now);
   }
-  next.s.finish_load(next.now);
+  next.scheduler.finish_load(next.now);
   for (int i = 0; i < 3; ++i) {
-    for (const auto& id : next.s.take_lookups()) next.s.on_end_looked_up(id, next.ends.at(id), next.now);
+    for (const auto& id : next.scheduler.take_lookups())
+      next.scheduler.on_end_looked_up(id, next.ends.at(id), next.now);
     next.store_all();
   }
   for (int n = 0; n < count; ++n) {
-    const auto end = next.ends.find(Chain::id(n));
+    const auto end = next.ends.find(DependencyFixture::id(n));
     RC_ASSERT((end != next.ends.end()) == expected.contains(n));
     if (end != next.ends.end()) RC_ASSERT(end->second == JobPhase::cancelled);
   }
--- a/tests/downlink_health_test.cpp
+++ b/tests/downlink_health_test.cpp
@@ -20,12 +20,12 @@
   Time now{seconds(100)};
   Time last_answer = now;
   std::uint64_t incarnation = 1;
-  const bool deaf_at_last = *rc::gen::arbitrary<bool>();
+  const bool unreachable_at_last = *rc::gen::arbitrary<bool>();
   const auto reports = *rc::gen::container<std::vector<bool>>(60, rc::gen::arbitrary<bool>());
   for (std::size_t i = 0; i < reports.size(); ++i) {
     now += seconds(2);
     const bool settled = i >= 30;
-    const bool reaches = settled ? !deaf_at_last : reports[i];
+    const bool reaches = settled ? !unreachable_at_last : reports[i];
     const bool lapsed = now - last_answer > seconds(14);
     if (lapsed) {
       ++incarnation;
@@ -35,7 +35,7 @@
     if (lapsed) downlink.on_delivery_missed(now);
     if (reaches) last_answer = now;
   }
-  RC_ASSERT(downlink.is_reachable() != deaf_at_last);
+  RC_ASSERT(downlink.is_reachable() != unreachable_at_last);
 }
 
 TEST(downlink_health, one_lost_response_does_not_make_a_machine_unreachable) {
@@ -63,10 +63,10 @@
 }
 
 // One scheduler, two machines of which the first may be deaf; answers carry orders, commands get none.
-class Ward {
+class DownlinkFixture {
  public:
-  explicit Ward(bool inherited) : s_(options(), [](const std::string&) {}) {
-    s_.set_types({{"g", {8, 0, 64}, 50, 1, 10, 3, 40, {"a"}}});
+  explicit DownlinkFixture(bool unconfirmed) : scheduler_(options(), [](const std::string&) {}) {
+    scheduler_.set_types({{"g", {8, 0, 64}, 50, 1, 10, 3, 40, {"a"}}});
     Job job;
     job.spec.id = JobId{"job-1"};
     job.spec.team = "red";
@@ -74,12 +74,12 @@
     job.spec.need = {8, 0, 1};
     job.spec.estimate_s = 100;
     job.submitted = now_;
-    if (!inherited) {
-      s_.add_job(job, now_);
+    if (!unconfirmed) {
+      scheduler_.add_job(job, now_);
       return;
     }
-    s_.load_job(job, now_);
-    s_.load_machine({MachineId{"i-1"}, 0, "10.0.0.1:1", "g", "a", false, Incarnation{1}, {}}, now_);
+    scheduler_.load_job(job, now_);
+    scheduler_.load_machine({MachineId{"i-1"}, 0, "10.0.0.1:1", "g", "a", false, Incarnation{1}, {}}, now_);
     TaskRow row;
     row.job = job.spec.id;
     row.size = 2;
@@ -87,43 +87,43 @@
     row.need = job.spec.need;
     row.next_attempt = 2;
     row.placed = {{0, Attempt{1}, MachineId{"i-1"}, "a"}};
-    s_.load_tasks(row, now_);
-    s_.finish_load(now_);
+    scheduler_.load_tasks(row, now_);
+    scheduler_.finish_load(now_);
   }
   // Reports every two seconds; a machine that hears nothing begins a session each 14 s.
-  void run(int reports, bool first_hears) {
+  void run(int reports, bool first_downlink_works) {
     for (int i = 0; i < reports; ++i) {
       now_ += seconds(2);
-      beat("i-1", first_hears);
-      beat("i-2", true);
-      round();
+      send_heartbeat("i-1", first_downlink_works);
+      send_heartbeat("i-2", true);
+      run_cycle();
     }
   }
   // The first machine alone reports at this second and is not answered; then a round.
-  void heard_unanswered(double at_s, Incarnation incarnation, bool runs_what_is_placed) {
+  void report_unanswered(double at_s, Incarnation incarnation, bool runs_what_is_placed) {
     now_ = Time{seconds(1000 + at_s)};
     auto r = report_of("i-1", HeartbeatSequence{++machines_["i-1"].sequence}, incarnation, FencingToken{50});
-    const auto known = s_.machines().find(r.machine);
+    const auto known = scheduler_.machines().find(r.machine);
     for (const auto& p : known->second.placements) {
       if (runs_what_is_placed) r.tasks.push_back({p.task, p.attempt, TaskState::running, ExitCause::none, false});
     }
-    s_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
-    round();
+    scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
+    run_cycle();
   }
-  void round_at(double at_s) {
+  void run_cycle_at(double at_s) {
     now_ = Time{seconds(1000 + at_s)};
-    round();
+    run_cycle();
   }
   [[nodiscard]] std::size_t placed_on(const char* id) const {
     std::size_t out = 0;
-    const auto it = s_.machines().find(MachineId{id});
-    if (it == s_.machines().end()) return out;
+    const auto it = scheduler_.machines().find(MachineId{id});
+    if (it == scheduler_.machines().end()) return out;
     for (const auto& p : it->second.placements) out += p.occupies() ? 1 : 0;
     return out;
   }
-  [[nodiscard]] DownlinkState downlink() const { return s_.machines().at(MachineId{"i-1"}).downlink.state(); }
-  [[nodiscard]] bool gone() const { return !s_.machines().contains(MachineId{"i-1"}); }
-  [[nodiscard]] MachinePhase phase() const { return s_.machines().at(MachineId{"i-1"}).phase(); }
+  [[nodiscard]] DownlinkState downlink() const { return scheduler_.machines().at(MachineId{"i-1"}).downlink.state(); }
+  [[nodiscard]] bool gone() const { return !scheduler_.machines().contains(MachineId{"i-1"}); }
+  [[nodiscard]] MachinePhase phase() const { return scheduler_.machines().at(MachineId{"i-1"}).phase(); }
 
  private:
   struct Machine {
@@ -131,22 +131,23 @@
     Time answered{seconds(1000)};
     std::vector<TaskStatus> tasks;
   };
-  void round() {
-    s_.run_cycle(now_);
-    for (auto rows = s_.take_writes(100, true, now_); !rows.empty(); rows = s_.take_writes(100, true, now_)) {
-      s_.on_rows_stored(rows, now_);
+  void run_cycle() {
+    scheduler_.run_cycle(now_);
+    for (auto rows = scheduler_.take_writes(100, true, now_); !rows.empty();
+         rows = scheduler_.take_writes(100, true, now_)) {
+      scheduler_.on_rows_stored(rows, now_);
     }
   }
   static Scheduler::Options options() {
-    Scheduler::Options u;
-    u.terms = {2, 14, 40, 4, 34};
-    u.teams = {{"red", {8, 0, 0}, {1e6, 0, 0}}};
-    u.token = FencingToken{50};
-    u.old_leader_until = Time{seconds(1000)};
-    u.policy.direct_starts = false;
-    return u;
+    Scheduler::Options out;
+    out.terms = {2, 14, 40, 4, 34};
+    out.teams = {{"red", {8, 0, 0}, {1e6, 0, 0}}};
+    out.token = FencingToken{50};
+    out.old_leader_until = Time{seconds(1000)};
+    out.policy.direct_starts = false;
+    return out;
   }
-  void beat(const char* id, bool hears) {
+  void send_heartbeat(const char* id, bool downlink_works) {
     auto& m = machines_[id];
     if (now_ - m.answered > seconds(14)) {
       ++m.incarnation;
@@ -155,10 +156,10 @@
     }
     auto r = report_of(id, HeartbeatSequence{++m.sequence}, Incarnation{m.incarnation}, FencingToken{m.token});
     r.tasks = m.tasks;
-    const auto commands = s_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
-    if (s_.must_not_be_answered(r.machine)) return;
-    s_.on_heartbeat_answered(r.machine, now_);
-    if (!hears) return;
+    const auto commands = scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
+    if (scheduler_.must_not_be_answered(r.machine)) return;
+    scheduler_.on_heartbeat_answered(r.machine, now_);
+    if (!downlink_works) return;
     m.token = 50;
     m.answered = now_;
     for (const auto& o : commands) {
@@ -171,59 +172,59 @@
   }
 
   Time now_{seconds(1000)};
-  Scheduler s_;
+  Scheduler scheduler_;
   std::map<std::string, Machine> machines_;
 };
 
 // What is placed on a machine that hears nothing never starts, and its reports were answered for ever.
 TEST(downlink_health, tasks_that_an_unreachable_machine_did_not_start_are_placed_elsewhere) {
-  Ward w{false};
-  w.run(2, false);
-  w.run(10, false);
-  EXPECT_EQ(DownlinkState::unreachable, w.downlink());
-  EXPECT_EQ(0U, w.placed_on("i-1"));
-  EXPECT_EQ(1U, w.placed_on("i-2")) << "the other one has room for one";
+  DownlinkFixture fixture{false};
+  fixture.run(2, false);
+  fixture.run(10, false);
+  EXPECT_EQ(DownlinkState::unreachable, fixture.downlink());
+  EXPECT_EQ(0U, fixture.placed_on("i-1"));
+  EXPECT_EQ(1U, fixture.placed_on("i-2")) << "the other one has room for one";
 }
 
 TEST(downlink_health, a_machine_that_is_reachable_again_is_used_again) {
-  Ward w{false};
-  w.run(12, false);
-  ASSERT_EQ(DownlinkState::unreachable, w.downlink());
-  w.run(12, true);
-  EXPECT_EQ(DownlinkState::reachable, w.downlink());
-  EXPECT_EQ(1U, w.placed_on("i-1"));
+  DownlinkFixture fixture{false};
+  fixture.run(12, false);
+  ASSERT_EQ(DownlinkState::unreachable, fixture.downlink());
+  fixture.run(12, true);
+  EXPECT_EQ(DownlinkState::reachable, fixture.downlink());
+  EXPECT_EQ(1U, fixture.placed_on("i-1"));
 }
 
 // Of an earlier leader's task only the token proves that no late start of it comes, and a deaf machine shows none:
 // unanswered, its lease ends.
 TEST(downlink_health, an_earlier_leaders_task_on_an_unreachable_machine_is_not_waited_for_for_ever) {
-  Ward w{true};
-  w.run(3, false);
-  EXPECT_EQ(1U, w.placed_on("i-1")) << "it may be there";
-  w.run(17, false);
-  EXPECT_EQ(0U, w.placed_on("i-1"));
+  DownlinkFixture fixture{true};
+  fixture.run(3, false);
+  EXPECT_EQ(1U, fixture.placed_on("i-1")) << "it may be there";
+  fixture.run(17, false);
+  EXPECT_EQ(0U, fixture.placed_on("i-1"));
 }
 
 // The simulation, of a machine that had been deaf: left unanswered, its session ended, and the next one had just begun
 // when the lease since the last answer was over. What was placed in it was given up and started elsewhere: ran_twice.
 TEST(downlink_health, a_new_incarnation_lasts_for_a_lease_of_its_own) {
-  Ward w{true};
-  w.heard_unanswered(12, Incarnation{2}, false);
-  w.heard_unanswered(13, Incarnation{2}, false);
-  w.heard_unanswered(14, Incarnation{2}, true);
-  ASSERT_EQ(1U, w.placed_on("i-1"));
-  w.round_at(16.5);
-  EXPECT_EQ(1U, w.placed_on("i-1")) << "it was answered last 16 s ago, and began 5 s ago at the most";
-  w.round_at(26);
-  EXPECT_EQ(1U, w.placed_on("i-1"));
-  w.round_at(27.5);
-  EXPECT_EQ(0U, w.placed_on("i-1"));
+  DownlinkFixture fixture{true};
+  fixture.report_unanswered(12, Incarnation{2}, false);
+  fixture.report_unanswered(13, Incarnation{2}, false);
+  fixture.report_unanswered(14, Incarnation{2}, true);
+  ASSERT_EQ(1U, fixture.placed_on("i-1"));
+  fixture.run_cycle_at(16.5);
+  EXPECT_EQ(1U, fixture.placed_on("i-1")) << "it was answered last 16 s ago, and began 5 s ago at the most";
+  fixture.run_cycle_at(26);
+  EXPECT_EQ(1U, fixture.placed_on("i-1"));
+  fixture.run_cycle_at(27.5);
+  EXPECT_EQ(0U, fixture.placed_on("i-1"));
 }
 
 TEST(downlink_health, no_machine_is_returned_while_half_of_the_fleet_is_unreachable) {
-  Ward w{false};
-  w.run(60, false);
-  EXPECT_EQ(MachinePhase::up, w.phase()) << "half of the fleet is deaf: the fault is elsewhere";
+  DownlinkFixture fixture{false};
+  fixture.run(60, false);
+  EXPECT_EQ(MachinePhase::up, fixture.phase()) << "half of the fleet is deaf: the fault is elsewhere";
 }
 
 }  // namespace
--- a/tests/failure_combinations_generated_test.cpp
+++ b/tests/failure_combinations_generated_test.cpp
@@ -9,11 +9,11 @@
 
 using region::Region;
 
-class Troubles {
+class FaultGenerator {
  public:
-  Troubles(Region& r, std::uint64_t seed) : r_(r), random_(seed) {}
+  FaultGenerator(Region& r, std::uint64_t seed) : r_(r), random_(seed) {}
 
-  std::string draw() {
+  std::string inject() {
     const auto c = leader_or_any();
     const double t = between(1, 30);
     switch (random_() % 24) {
@@ -44,7 +44,7 @@
         for (std::size_t i = 0; i < r_.controllers(); ++i) r_.store().faults(i).late_share = between(0.05, 0.5);
         return "late writes";
       case 8:
-        r_.environment().late_reports = between(0.05, 0.4);
+        r_.environment().late_heartbeats = between(0.05, 0.4);
         return "late reports";
       case 9:
         for (auto& w : r_.workers()) {
@@ -66,7 +66,7 @@
         return "frozen";
       case 13:
         for (auto& w : r_.workers()) {
-          if (between(0, 1) < 0.5) w->keep_to(c, seconds(t));
+          if (between(0, 1) < 0.5) w->confine_to(c, seconds(t));
         }
         return "machines that reach one controller alone";
       case 14:
@@ -75,12 +75,12 @@
         }
         return "machines cut off";
       default:
-        return draw_further(c, t);
+        return inject_further(c, t);
     }
   }
   // The jobs that users call off by these troubles.
   std::vector<JobId> jobs;
-  std::string draw_further(std::size_t c, double t) {
+  std::string inject_further(std::size_t c, double t) {
     switch (random_() % 9) {
       case 0:
         for (std::size_t i = 0; i < r_.controllers(); ++i) {
@@ -91,8 +91,8 @@
         }
         return "only answers lost";
       case 1:
-        r_.environment().kept_reports = between(0.05, 0.5);
-        r_.environment().kept_for_s = between(0, 1) < 0.5 ? 0 : between(0, 15);
+        r_.environment().retained_heartbeats = between(0.05, 0.5);
+        r_.environment().retained_for_s = between(0, 1) < 0.5 ? 0 : between(0, 15);
         return "old reports for the next leader";
       case 2:
         for (auto& w : r_.workers()) {
@@ -103,10 +103,10 @@
         r_.cut_zone(between(0, 1) < 0.5 ? "a" : "b", c, t);
         return "zone cut off with a controller";
       case 4:
-        call_off(0);
+        cancel_jobs(0);
         return "jobs called off at once";
       case 5:
-        call_off(t);
+        cancel_jobs(t);
         return "jobs called off, their machines hang";
       case 6:
         for (std::size_t i = 0; i < r_.controllers(); ++i) r_.kill_for(i, t);
@@ -125,10 +125,10 @@
 
  private:
   // Within a fifth of a second; up to eight of their machines hang so long.
-  void call_off(double hang_s) {
+  void cancel_jobs(double hang_s) {
     std::size_t hanging = 0;
     for (const auto& id : jobs) {
-      const auto& work = r_.rules().work(id);
+      const auto& work = r_.rules().job(id);
       if (work.reported_done || !work.accepted || between(0, 1) < 0.5) continue;
       r_.cancel(id, {r_.pick(), r_.pick()});
       for (auto& w : r_.workers()) {
@@ -148,7 +148,7 @@
   std::mt19937_64 random_;
 };
 
-JobSpec some_job(Troubles& t, const std::vector<JobId>& earlier) {
+JobSpec random_job(FaultGenerator& t, const std::vector<JobId>& earlier) {
   JobSpec s;
   s.kind = t.number() % 2 == 0 ? JobKind::gang : JobKind::array;
   s.priority = static_cast<Priority>(t.number() % 4);
@@ -165,48 +165,48 @@
 }
 
 // One day of a region: users submit, ask and cancel at any controller, while troubles meet. Returns what befell it.
-std::string play_day(std::uint64_t seed, std::string& breaches) {
+std::string play_day(std::uint64_t seed, std::string& violations) {
   region::RegionOptions options;
   options.relay = seed % 4 != 0;
   options.controllers = seed % 5 == 0 ? 5 : 3;
   options.team_gpus = seed % 3 == 0 ? 20 : 1000;
   options.boot_s = seed % 7 == 0 ? 1 : 4;
   Region r{seed, options};
-  Troubles troubles{r, seed ^ 0x5eedU};
+  FaultGenerator generator{r, seed ^ 0x5eedU};
   std::string what;
   r.run_until(20, [&] { return r.leader().has_value(); });
   if (seed % 3 != 1) r.look_closely(seed % 2 == 0 ? 0.2 : 0);
-  auto& jobs = troubles.jobs;
+  auto& jobs = generator.jobs;
   for (int i = 0; i < 90; ++i) {
-    if (i < 60 && troubles.between(0, 1) < 0.25)
-      jobs.push_back(r.submit(some_job(troubles, jobs), troubles.between(2, 40)));
-    if (!jobs.empty() && troubles.between(0, 1) < 0.12) {
-      r.cancel(jobs.at(troubles.number() % jobs.size()), {r.pick(), r.pick()});
+    if (i < 60 && generator.between(0, 1) < 0.25)
+      jobs.push_back(r.submit(random_job(generator, jobs), generator.between(2, 40)));
+    if (!jobs.empty() && generator.between(0, 1) < 0.12) {
+      r.cancel(jobs.at(generator.number() % jobs.size()), {r.pick(), r.pick()});
     }
-    if (i > 5 && i < 70 && troubles.between(0, 1) < 0.04) {
-      what += std::to_string(i) + " " + troubles.draw() + ", ";
-      r.run(troubles.between(0, 4));
-      what += troubles.draw() + "; ";
+    if (i > 5 && i < 70 && generator.between(0, 1) < 0.04) {
+      what += std::to_string(i) + " " + generator.inject() + ", ";
+      r.run(generator.between(0, 4));
+      what += generator.inject() + "; ";
     }
     r.run(1);
   }
   r.run(30);  // the longest trouble
-  r.environment().late_reports = r.environment().kept_reports = 0;
-  r.environment().kept.clear();
+  r.environment().late_heartbeats = r.environment().retained_heartbeats = 0;
+  r.environment().retained.clear();
   r.environment().fetch_s = r.environment().fetch_more_s = 1;
   r.rules().on_complete = nullptr;
   r.rules().all_faults_over(r.now());
-  const bool over = r.run_until(600, [&] { return r.all_over() || !r.rules().breaches().empty(); });
-  if (r.rules().breaches().empty()) r.run(40);
-  breaches = r.breaches();
-  if (!over) breaches += "jobs that never end: " + r.unfinished() + "\n";
+  const bool over = r.run_until(600, [&] { return r.all_over() || !r.rules().violations().empty(); });
+  if (r.rules().violations().empty()) r.run(40);
+  violations = r.violations();
+  if (!over) violations += "jobs that never end: " + r.unfinished() + "\n";
   return what;
 }
 
 RC_GTEST_PROP(failure_combinations, keep_every_rule_whichever_two_faults_coincide, (std::uint64_t seed)) {
-  std::string breaches;
-  const auto what = play_day(seed, breaches);
-  if (!breaches.empty()) RC_FAIL("seed " + std::to_string(seed) + ": " + what + "\n" + breaches);
+  std::string violations;
+  const auto what = play_day(seed, violations);
+  if (!violations.empty()) RC_FAIL("seed " + std::to_string(seed) + ": " + what + "\n" + violations);
 }
 
 }  // namespace
--- a/tests/failure_combinations_machines_test.cpp
+++ b/tests/failure_combinations_machines_test.cpp
@@ -1,11 +1,11 @@
 // Meetings in which machines take part: hanging, cut off, mute, just hired, heard of by old reports; a zone cut off,
 // all controllers away, leaders that change again and again. docs/safety.md argues each.
-#include "region/busy.hpp"
+#include "region/busy_region.hpp"
 
 namespace martenwall {
 namespace {
 
-using region::Busy;
+using region::BusyRegion;
 using region::Region;
 using region::RegionOptions;
 using region::sets;
@@ -14,7 +14,7 @@
 struct LimitCase {
   double hang = 0, cut = 0;  // of machines with cancelled work
   bool refused = false;      // the leader is refused alone; else it ends
-  bool late_reports = false;
+  bool late_heartbeats = false;
 };
 
 // The team is at its limit, jobs are called off whose machines hang or are cut off, and the leader changes: what may
@@ -23,34 +23,35 @@
   SCOPED_TRACE("seed " + std::to_string(seed) + " hang " + std::to_string(c.hang) + " cut " + std::to_string(c.cut));
   RegionOptions options;
   options.team_gpus = 24;  // what the first jobs take
-  Busy b{seed, options, 60};
-  Region& r = b.r;
+  BusyRegion busy{seed, options, 60};
+  Region& r = busy.r;
   for (int i = 0; i < 4; ++i) r.submit_array(4, 10);
-  const std::vector<JobId> cancelled{b.jobs.begin(), b.jobs.begin() + 3};
+  const std::vector<JobId> cancelled{busy.jobs.begin(), busy.jobs.begin() + 3};
   const auto has_cancelled = [&](const auto& w) {
     return std::ranges::any_of(cancelled, [&](const JobId& id) { return w->has(id); });
   };
-  for (const auto& id : cancelled) r.cancel(id, {b.old});
+  for (const auto& id : cancelled) r.cancel(id, {busy.old_leader});
   for (auto& w : r.workers()) {
     if (!has_cancelled(w)) continue;
     if (c.hang > 0) w->hang(seconds(c.hang));
     if (c.cut > 0) w->lose_everyone(seconds(c.cut));
   }
-  if (c.late_reports) r.environment().late_reports = 0.5;
+  if (c.late_heartbeats) r.environment().late_heartbeats = 0.5;
   r.run(0.3);
   if (c.refused) {
-    r.store().faults(b.old).refuses_until = r.now() + seconds(20);
+    r.store().faults(busy.old_leader).refuses_until = r.now() + seconds(20);
   } else {
-    r.kill_for(b.old, 5);
+    r.kill_for(busy.old_leader, 5);
   }
-  ASSERT_TRUE(r.run_until(15, [&] { return r.leader().has_value() && (!c.refused || *r.leader() != b.old); }));
-  const bool told = r.rules().work(cancelled.front()).reported_cancelled.has_value();
+  ASSERT_TRUE(
+      r.run_until(15, [&] { return r.leader().has_value() && (!c.refused || *r.leader() != busy.old_leader); }));
+  const bool told = r.rules().job(cancelled.front()).reported_cancelled.has_value();
   EXPECT_TRUE(told && std::ranges::any_of(r.workers(), has_cancelled))
       << "else nothing of a cancelled job was left when the next leader began";
-  r.cancel(b.jobs.at(3), {r.others_of(b.old, 1), r.others_of(b.old, 2)});
+  r.cancel(busy.jobs.at(3), {r.others_of(busy.old_leader, 1), r.others_of(busy.old_leader, 2)});
   r.run(30);
-  r.environment().late_reports = 0;
-  b.ends_well(400);
+  r.environment().late_heartbeats = 0;
+  busy.ends_well(400);
 }
 
 TEST(failure_combinations, cancelled_jobs_hang_while_teams_are_at_their_limit_and_the_leader_changes) {
@@ -69,8 +70,8 @@
     SCOPED_TRACE(seed);
     RegionOptions options;
     options.boot_s = 1;
-    Busy b{seed, options, 40};
-    Region& r = b.r;
+    BusyRegion busy{seed, options, 40};
+    Region& r = busy.r;
     for (std::size_t c = 0; c < 3; ++c) {
       r.store().faults(c).late_share = 0.4;
       r.store().faults(c).late_until = r.now() + seconds(30);
@@ -95,7 +96,7 @@
       r.run(6);
     }
     r.run(20);
-    b.ends_well(500);
+    busy.ends_well(500);
   }
   EXPECT_GT(hired_at_work, 6U) << "new machines had work when the leader ended";
 }
@@ -107,23 +108,23 @@
     SCOPED_TRACE(seed);
     RegionOptions options;
     options.relay = seed % 2 == 0;
-    Busy b{seed, options, 10};
-    Region& r = b.r;
-    r.environment().kept_reports = 0.5;
-    r.environment().kept_for_s = seed > 222 ? 4 : 0;
+    BusyRegion busy{seed, options, 10};
+    Region& r = busy.r;
+    r.environment().retained_heartbeats = 0.5;
+    r.environment().retained_for_s = seed > 222 ? 4 : 0;
     for (int i = 0; i < 6; ++i) {
       for (int k = 0; k < 3; ++k) r.submit_array(4, 9);
       r.workers().at(static_cast<std::size_t>(i))->lose_everyone(seconds(13));  // a new session
       r.run(8);
-      r.cancel(b.jobs.at(static_cast<std::size_t>(i)), {r.pick(), r.pick()});
+      r.cancel(busy.jobs.at(static_cast<std::size_t>(i)), {r.pick(), r.pick()});
       if (const auto l = r.leader()) r.kill_for(*l, i % 2 == 0 ? 0.3 : 6);
       r.run(5);
     }
-    r.environment().kept_reports = 0;
-    r.environment().kept.clear();
+    r.environment().retained_heartbeats = 0;
+    r.environment().retained.clear();
     EXPECT_GT(r.environment().late_copies, 20U) << "answered with 200";
     r.run(10);
-    b.ends_well(400);
+    busy.ends_well(400);
   }
 }
 
@@ -132,24 +133,24 @@
   for (const double time : {7.0, 9.9, 25.0}) {
     for (const bool killed : {false, true}) {
       SCOPED_TRACE(time);
-      Busy b{231, {}, 50};
-      Region& r = b.r;
+      BusyRegion busy{231, {}, 50};
+      Region& r = busy.r;
       std::vector<Worker*> mute;
       for (std::size_t i = 0; i < r.workers().size(); i += 2) {
         mute.push_back(r.workers().at(i).get());
         mute.back()->lose_uplink(seconds(time));
       }
-      const auto old_token = r.token_of(b.old);
+      const auto old_token = r.token_of(busy.old_leader);
       for (int i = 0; i < 3; ++i) r.submit_array(4, 10);
       r.run(0.5);
-      for (std::size_t i = 0; i < 2; ++i) r.cancel(b.jobs.at(i), {b.old});
+      for (std::size_t i = 0; i < 2; ++i) r.cancel(busy.jobs.at(i), {busy.old_leader});
       r.run(1);
-      if (killed) r.kill_for(b.old, 8);
+      if (killed) r.kill_for(busy.old_leader, 8);
       r.run(4);
       const bool heard = std::ranges::any_of(mute, [&](Worker* w) { return w->token() > old_token; });
       EXPECT_EQ(killed, heard) << "the next leader's announcement reaches mute machines";
       r.run(time + 10);
-      b.ends_well(500);
+      busy.ends_well(500);
     }
   }
 }
@@ -159,27 +160,27 @@
   for (const std::size_t step : {0U, 1U}) {
     for (const double time : {8.0, 14.0, 45.0}) {
       SCOPED_TRACE(std::to_string(step) + " " + std::to_string(time));
-      Busy b{241 + step, {}, 60};
-      Region& r = b.r;
+      BusyRegion busy{241 + step, {}, 60};
+      Region& r = busy.r;
       JobSpec bound;
       bound.tasks = 4;
       bound.need = {1, 1, 8};
       bound.one_zone = true;
       r.submit(bound, 20);
       r.run(4);
-      const auto inside = r.others_of(b.old, step);
-      const auto old_token = r.token_of(b.old);
+      const auto inside = r.others_of(busy.old_leader, step);
+      const auto old_token = r.token_of(busy.old_leader);
       r.cut_zone("a", inside, time);
       r.run(0.5);
-      for (std::size_t i = 0; i < 3; ++i) r.cancel(b.jobs.at(i), {r.others_of(inside, 1), r.others_of(inside, 2)});
+      for (std::size_t i = 0; i < 3; ++i) r.cancel(busy.jobs.at(i), {r.others_of(inside, 1), r.others_of(inside, 2)});
       r.run(5);
       for (int i = 0; i < 3; ++i) r.submit_array(4, 10);
       r.run(time);
-      EXPECT_TRUE(r.rules().work(b.jobs.at(0)).reported_cancelled.has_value()) << "by those outside";
+      EXPECT_TRUE(r.rules().job(busy.jobs.at(0)).reported_cancelled.has_value()) << "by those outside";
       ASSERT_TRUE(r.leader().has_value());
       EXPECT_EQ(step == 0, r.token_of(*r.leader()) > old_token) << "a cut leader is followed by another";
       r.run(20);
-      b.ends_well(600);
+      busy.ends_well(600);
     }
   }
 }
@@ -188,18 +189,18 @@
 TEST(failure_combinations, all_controllers_are_down) {
   for (const double time : {6.0, 9.5, 14.0, 30.0}) {
     SCOPED_TRACE(time);
-    Busy b{251, {}, 60};
-    Region& r = b.r;
-    r.cancel(b.jobs.at(0), {b.old});
-    r.cancel(b.jobs.at(1), {b.old});
+    BusyRegion busy{251, {}, 60};
+    Region& r = busy.r;
+    r.cancel(busy.jobs.at(0), {busy.old_leader});
+    r.cancel(busy.jobs.at(1), {busy.old_leader});
     r.run(0.06);
     for (auto& w : r.workers()) {
-      if (w->has(b.jobs.at(0))) w->hang(seconds(5));
+      if (w->has(busy.jobs.at(0))) w->hang(seconds(5));
     }
     for (std::size_t c = 0; c < 3; ++c) r.kill_for(c, time + 0.2 * static_cast<double>(c));
     r.run(time + 25);
-    EXPECT_TRUE(r.rules().work(b.jobs.at(0)).reported_cancelled.has_value());
-    b.ends_well(600);
+    EXPECT_TRUE(r.rules().job(busy.jobs.at(0)).reported_cancelled.has_value());
+    busy.ends_well(600);
   }
 }
 
@@ -208,8 +209,8 @@
 TEST(failure_combinations, jobs_bound_to_one_zone_lose_machines) {
   for (const std::uint64_t seed : {261U, 262U, 263U, 264U}) {
     SCOPED_TRACE(seed);
-    Busy b{seed, {}, 12};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 12};
+    Region& r = busy.r;
     std::vector<JobId> bound;
     for (int i = 0; i < 4; ++i) {
       JobSpec s;
@@ -233,7 +234,7 @@
     EXPECT_GT(lost, 1U);
     if (seed == 264 && r.leader()) r.kill_for(*r.leader(), 0.3);
     r.run(30);
-    b.ends_well(500);
+    busy.ends_well(500);
   }
 }
 
@@ -241,8 +242,8 @@
 TEST(failure_combinations, more_work_than_capacity_over_slow_links) {
   RegionOptions options;
   options.most_machines = 8;
-  Busy b{271, options, 10};
-  Region& r = b.r;
+  BusyRegion busy{271, options, 10};
+  Region& r = busy.r;
   r.environment().fetch_s = 6;
   r.environment().fetch_more_s = 20;
   for (int i = 0; i < 16; ++i) {
@@ -258,15 +259,15 @@
     if (i == 9) r.kill_for(*r.leader(), 0.3);
   }
   EXPECT_FALSE(r.all_over());
-  b.ends_well(900);
+  busy.ends_well(900);
 }
 
 // Leaders change ten times in two minutes, also inside an outage of the store.
 TEST(failure_combinations, the_leader_changes_ten_times_in_two_minutes) {
   for (const std::uint64_t seed : {281U, 282U, 283U}) {
     SCOPED_TRACE(seed);
-    Busy b{seed, {}, 60};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 60};
+    Region& r = busy.r;
     r.look_closely(0.2);
     std::set<std::uint64_t> tokens;
     for (int i = 0; i < 10; ++i) {
@@ -275,7 +276,7 @@
       if (l) tokens.insert(r.token_of(*l));
       r.submit_array(2, 5);
       if (i == 4) r.store().fail_for(seconds(7));
-      if (i % 2 == 0) r.cancel(b.jobs.at(static_cast<std::size_t>(i) / 2), {r.pick(), r.pick()});
+      if (i % 2 == 0) r.cancel(busy.jobs.at(static_cast<std::size_t>(i) / 2), {r.pick(), r.pick()});
       r.run(0.4);
       if (l && seed == 282) r.store().faults(*l).refuses_until = r.now() + seconds(2.5);
       if (l && seed != 282) r.kill_for(*l, i % 3 == 0 ? 0.2 : 4);
@@ -283,7 +284,7 @@
     }
     EXPECT_GE(tokens.size(), 8U);
     r.run(20);
-    b.ends_well(500);
+    busy.ends_well(500);
   }
 }
 
@@ -293,22 +294,22 @@
   for (const double before : {0.03, 0.0}) {
     for (const double outage_after : {0.5, 1.0, 2.2}) {
       SCOPED_TRACE(std::to_string(before) + " " + std::to_string(outage_after));
-      Busy b{291};
-      Region& r = b.r;
+      BusyRegion busy{291};
+      Region& r = busy.r;
       for (auto& w : r.workers()) w->hold_next_start(seconds(8));
       const JobId fresh = r.submit_array(3, 60);
       r.run(0.5);
       std::size_t told = 0;
-      r.rules().on_news = [&](const JobId& id) { told += r.rules().work(id).reported_cancelled ? 1U : 0U; };
-      for (std::size_t i = 0; i < 4; ++i) r.cancel(b.jobs.at(i), {r.others_of(b.old, i)});
-      r.cancel(fresh, {b.old});
+      r.rules().on_news = [&](const JobId& id) { told += r.rules().job(id).reported_cancelled ? 1U : 0U; };
+      for (std::size_t i = 0; i < 4; ++i) r.cancel(busy.jobs.at(i), {r.others_of(busy.old_leader, i)});
+      r.cancel(fresh, {busy.old_leader});
       r.run(before);
-      r.store().faults(b.old).refuses_until = r.now() + seconds(45);
+      r.store().faults(busy.old_leader).refuses_until = r.now() + seconds(45);
       r.run(outage_after);
       r.store().fail_for(seconds(40));
       r.run(60);
       EXPECT_GT(told, 0U);
-      b.ends_well(700);
+      busy.ends_well(700);
     }
   }
 }
--- a/tests/failure_combinations_test.cpp
+++ b/tests/failure_combinations_test.cpp
@@ -2,12 +2,12 @@
 // which the meeting did not come about fails.
 #include <gtest/gtest.h>
 
-#include "region/busy.hpp"
+#include "region/busy_region.hpp"
 
 namespace martenwall {
 namespace {
 
-using region::Busy;
+using region::BusyRegion;
 using region::Region;
 using region::sets;
 using region::Worker;
@@ -18,7 +18,7 @@
   std::vector<JobId> jobs;
   for (int i = 0; i < 6; ++i) jobs.push_back(r.submit_array(3, 5));
   EXPECT_TRUE(r.run_until(60, [&] { return r.rules().started() >= 18 && r.all_over(); }));
-  EXPECT_EQ("", r.breaches());
+  EXPECT_EQ("", r.violations());
   EXPECT_EQ(18U, r.rules().started());
 }
 
@@ -33,31 +33,33 @@
 
 void play_gap(std::uint64_t seed, region::RegionOptions options, const Gap& gap) {
   SCOPED_TRACE("seed " + std::to_string(seed));
-  Busy b{seed, options};
-  Region& r = b.r;
-  const auto old_token = r.token_of(b.old);
-  r.store().faults(b.old).refuses_until = r.now() + seconds(gap.before + gap.outage + 10);
+  BusyRegion busy{seed, options};
+  Region& r = busy.r;
+  const auto old_token = r.token_of(busy.old_leader);
+  r.store().faults(busy.old_leader).refuses_until = r.now() + seconds(gap.before + gap.outage + 10);
   // The machines reach no one else, and no one else reaches them: one that had heard of the successor would end it.
-  for (auto& w : r.workers()) w->keep_to(b.old, seconds(gap.outage + 20));
-  if (gap.links_cut) r.cut_links(b.old, gap.before + gap.outage + 10);
-  ASSERT_TRUE(r.run_until(15, [&] { return r.leader().has_value() && *r.leader() != b.old; })) << "a successor leads";
-  for (std::size_t i = 0; i < 4; ++i) r.cancel(b.jobs.at(i), {r.others_of(b.old, 1), r.others_of(b.old, 2)});
+  for (auto& w : r.workers()) w->confine_to(busy.old_leader, seconds(gap.outage + 20));
+  if (gap.links_cut) r.cut_links(busy.old_leader, gap.before + gap.outage + 10);
+  ASSERT_TRUE(r.run_until(15, [&] { return r.leader().has_value() && *r.leader() != busy.old_leader; }))
+      << "a successor leads";
+  for (std::size_t i = 0; i < 4; ++i)
+    r.cancel(busy.jobs.at(i), {r.others_of(busy.old_leader, 1), r.others_of(busy.old_leader, 2)});
   const auto told = [&] {
-    return std::ranges::count_if(b.jobs,
-                                 [&](const JobId& id) { return r.rules().work(id).reported_cancelled.has_value(); });
+    return std::ranges::count_if(busy.jobs,
+                                 [&](const JobId& id) { return r.rules().job(id).reported_cancelled.has_value(); });
   };
   ASSERT_TRUE(r.run_until(10, [&] { return told() > 0; })) << "the successor confirms";
   const Time confirmed = r.now();
   r.store().fail_for(seconds(gap.outage));
   if (gap.freeze > 0) {
     r.run(1);
-    r.freeze(b.old, gap.freeze);
+    r.freeze(busy.old_leader, gap.freeze);
   }
   if (gap.old_returns) {
     r.run(0.5);
-    r.kill(b.old);
+    r.kill(busy.old_leader);
     r.run(0.4);
-    r.start(b.old);
+    r.start(busy.old_leader);
   }
   r.run(gap.outage);
   if (gap.refused_again) r.store().faults(*r.leader()).refuses_until = r.now() + seconds(10);
@@ -68,7 +70,7 @@
           });
   }
   EXPECT_TRUE(met || gap.freeze > 0) << "else no worker kept to the old leader after the confirmation";
-  b.ends_well(700);
+  busy.ends_well(700);
 }
 
 TEST(failure_combinations, confirmed_cancellations_hold_through_a_store_outage_after_a_failover) {
@@ -100,33 +102,33 @@
 // 1. The old leader is cut from the store and the others; its workers and its users are not.
 TEST(failure_combinations, the_leader_is_cut_off_from_the_store_and_the_controllers) {
   for (const std::uint64_t seed : {11U, 12U, 13U}) {
-    Busy b{seed};
-    Region& r = b.r;
-    const auto old_token = r.token_of(b.old);
-    r.store().faults(b.old).refuses_until = r.now() + seconds(40);
-    r.cut_links(b.old, 40);
-    for (auto& w : r.workers()) w->keep_to(b.old, seconds(40));
-    for (const auto& id : b.jobs) r.poll_at(id, {b.old});
-    ASSERT_TRUE(r.run_until(15, [&] { return r.leader().has_value() && *r.leader() != b.old; }));
+    BusyRegion busy{seed};
+    Region& r = busy.r;
+    const auto old_token = r.token_of(busy.old_leader);
+    r.store().faults(busy.old_leader).refuses_until = r.now() + seconds(40);
+    r.cut_links(busy.old_leader, 40);
+    for (auto& w : r.workers()) w->confine_to(busy.old_leader, seconds(40));
+    for (const auto& id : busy.jobs) r.poll_at(id, {busy.old_leader});
+    ASSERT_TRUE(r.run_until(15, [&] { return r.leader().has_value() && *r.leader() != busy.old_leader; }));
     const Time since = r.now();
-    for (std::size_t i = 0; i < 4; ++i) r.cancel(b.jobs.at(i), {r.others_of(b.old, 1)});
+    for (std::size_t i = 0; i < 4; ++i) r.cancel(busy.jobs.at(i), {r.others_of(busy.old_leader, 1)});
     r.run(40);
-    EXPECT_TRUE(r.rules().work(b.jobs.at(0)).reported_cancelled.has_value());
+    EXPECT_TRUE(r.rules().job(busy.jobs.at(0)).reported_cancelled.has_value());
     const bool met = std::ranges::any_of(r.workers(), [&](const auto& w) {
       return std::ranges::any_of(w->renewals(),
                                  [&](const auto& x) { return x.first > since && x.second == old_token; });
     });
     EXPECT_TRUE(met) << "else no worker was answered by the old leader beside the new one";
-    b.ends_well(700);
+    busy.ends_well(700);
   }
 }
 
 // 2. Copies of reports from earlier sessions, ticks and attempts, also at a leader that is new.
 TEST(failure_combinations, old_heartbeats_arrive_after_newer_ones) {
   for (const std::uint64_t seed : {21U, 22U, 23U}) {
-    Busy b{seed, {}, 12};
-    Region& r = b.r;
-    r.environment().late_reports = 0.5;
+    BusyRegion busy{seed, {}, 12};
+    Region& r = busy.r;
+    r.environment().late_heartbeats = 0.5;
     for (int i = 0; i < 5; ++i) {
       r.submit_array(6, 8);
       r.workers().at(static_cast<std::size_t>(i))->lose_everyone(seconds(13));  // a new session
@@ -134,43 +136,43 @@
       if (const auto l = r.leader()) r.kill_for(*l, 1);
     }
     EXPECT_GT(r.environment().late_copies, 20U);
-    r.environment().late_reports = 0;
+    r.environment().late_heartbeats = 0;
     r.run(20);
-    b.ends_well(400);
+    busy.ends_well(400);
   }
 }
 
 // The old leader sends the job's end; the store loses it and refuses that leader alone, until another leads.
-void lose_the_end(Busy& b, const JobId& id) {
-  Region& r = b.r;
+void lose_the_end(BusyRegion& busy, const JobId& id) {
+  Region& r = busy.r;
   const std::string key = "f/" + id.value();
   bool taken = false;
   r.store().make_late(
       [&](std::size_t from, const nlohmann::json& txn) {
-        taken = taken || (from == b.old && sets(txn, key));
+        taken = taken || (from == busy.old_leader && sets(txn, key));
         return taken;
       },
       seconds(1000));  // it is lost
   ASSERT_TRUE(r.run_until(40, [&] { return taken; })) << "the end is sent";
-  r.store().faults(b.old).refuses_until = r.now() + seconds(9);
+  r.store().faults(busy.old_leader).refuses_until = r.now() + seconds(9);
   // The others do not hear of the result before the job is cancelled.
-  for (auto& w : r.workers()) w->keep_to(b.old, seconds(12));
-  ASSERT_TRUE(r.run_until(6, [&] { return r.leader().has_value() && *r.leader() != b.old; }));
+  for (auto& w : r.workers()) w->confine_to(busy.old_leader, seconds(12));
+  ASSERT_TRUE(r.run_until(6, [&] { return r.leader().has_value() && *r.leader() != busy.old_leader; }));
 }
 
 // 3. Refused alone, with an end that may or may not be stored: another leads and ends the job in another way.
 TEST(failure_combinations, an_end_of_unknown_outcome_is_not_taken_for_stored_because_of_the_next_leaders_end) {
   std::size_t met = 0;
   for (const std::uint64_t seed : {31U, 32U, 33U, 34U, 35U, 36U}) {
-    Busy b{seed, {}, 8};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 8};
+    Region& r = busy.r;
     const JobId id = r.submit_array(1, 12);
-    ASSERT_NO_FATAL_FAILURE(lose_the_end(b, id));
-    r.cancel(id, {r.others_of(b.old, 1), r.others_of(b.old, 2)});
+    ASSERT_NO_FATAL_FAILURE(lose_the_end(busy, id));
+    r.cancel(id, {r.others_of(busy.old_leader, 1), r.others_of(busy.old_leader, 2)});
     r.run(4);
-    if (r.rules().work(id).reported_cancelled) ++met;
-    r.poll_at(id, {b.old});
-    b.ends_well(300);
+    if (r.rules().job(id).reported_cancelled) ++met;
+    r.poll_at(id, {busy.old_leader});
+    busy.ends_well(300);
   }
   EXPECT_GT(met, 3U) << "the successor cancelled what the old leader had ended";
 }
@@ -178,82 +180,84 @@
 // The same, and nothing but that one transaction tells the old leader that it leads no more: it has no other rows to
 // write, and what it asks about its lease is answered late.
 TEST(failure_combinations, an_end_of_unknown_outcome_is_recognised_by_the_leader_key_and_its_mark) {
-  Busy b{39, {}, 60};
-  Region& r = b.r;
+  BusyRegion busy{39, {}, 60};
+  Region& r = busy.r;
   r.submit_array(7, 60);  // no machine is idle, so that no other row changes
   r.run(8);
   const JobId id = r.submit_array(1, 12);
-  ASSERT_NO_FATAL_FAILURE(lose_the_end(b, id));
-  r.cut_links(b.old, 20);
-  r.cancel(id, {r.others_of(b.old, 1), r.others_of(b.old, 2)});
-  ASSERT_TRUE(r.run_until(6, [&] { return r.rules().work(id).reported_cancelled.has_value(); }));
-  r.poll_at(id, {r.others_of(b.old, 1)});
-  r.store().faults(b.old).leases_slower = seconds(0.9);
+  ASSERT_NO_FATAL_FAILURE(lose_the_end(busy, id));
+  r.cut_links(busy.old_leader, 20);
+  r.cancel(id, {r.others_of(busy.old_leader, 1), r.others_of(busy.old_leader, 2)});
+  ASSERT_TRUE(r.run_until(6, [&] { return r.rules().job(id).reported_cancelled.has_value(); }));
+  r.poll_at(id, {r.others_of(busy.old_leader, 1)});
+  r.store().faults(busy.old_leader).leases_slower = seconds(0.9);
   r.run(7);
   for (int i = 0; i < 60; ++i) {
-    r.ask_once(id, b.old);
+    r.ask_once(id, busy.old_leader);
     r.run(0.05);
   }
-  r.store().faults(b.old).leases_slower = Duration{0};
-  EXPECT_EQ(1U, r.logged(b.old, "in doubt")) << "said once";
-  EXPECT_EQ(1U, r.logged(b.old, "was not stored"));
-  b.ends_well(700);
+  r.store().faults(busy.old_leader).leases_slower = Duration{0};
+  EXPECT_EQ(1U, r.logged(busy.old_leader, "in doubt")) << "said once";
+  EXPECT_EQ(1U, r.logged(busy.old_leader, "was not stored"));
+  busy.ends_well(700);
 }
 
 // 3 and 7. The end is stored late and read by another node, while its leader still waits for the answer.
 TEST(failure_combinations, a_job_whose_end_is_being_written_is_not_reported_active) {
-  Busy b{37};
-  Region& r = b.r;
-  const JobId id = b.jobs.at(0);
-  const auto other = r.others_of(b.old, 1);
+  BusyRegion busy{37};
+  Region& r = busy.r;
+  const JobId id = busy.jobs.at(0);
+  const auto other = r.others_of(busy.old_leader, 1);
   const std::string key = "f/" + id.value();
   // The first try comes late, and what is tried again meanwhile is not answered either.
   std::size_t tries = 0;
   r.store().make_late(
-      [&](std::size_t from, const nlohmann::json& txn) { return from == b.old && sets(txn, key) && ++tries > 0; },
+      [&](std::size_t from, const nlohmann::json& txn) {
+        return from == busy.old_leader && sets(txn, key) && ++tries > 0;
+      },
       seconds(1));
-  r.cut_links(b.old, 20);
-  r.poll_at(id, {b.old});
+  r.cut_links(busy.old_leader, 20);
+  r.poll_at(id, {busy.old_leader});
   r.cancel(id, {other});
   ASSERT_TRUE(r.run_until(10, [&] { return r.store().has(key); }));
-  r.store().faults(b.old).slower = seconds(2.5);
-  r.store().faults(b.old).slower_until = r.now() + seconds(12);
-  EXPECT_TRUE(r.run_until(8, [&] { return r.rules().work(id).reported_cancelled.has_value(); })) << "by the other node";
+  r.store().faults(busy.old_leader).slower = seconds(2.5);
+  r.store().faults(busy.old_leader).slower_until = r.now() + seconds(12);
+  EXPECT_TRUE(r.run_until(8, [&] { return r.rules().job(id).reported_cancelled.has_value(); })) << "by the other node";
   for (int i = 0; i < 8; ++i) {
-    r.ask_once(id, b.old);
+    r.ask_once(id, busy.old_leader);
     r.run(0.5);
   }
   EXPECT_GT(r.store().late(), 0U);
-  EXPECT_EQ("", r.breaches());
-  b.ends_well(700);
+  EXPECT_EQ("", r.violations());
+  busy.ends_well(700);
 }
 
 // 3. A note is read once; the job's row cannot be read in that moment.
 TEST(failure_combinations, a_notified_job_runs_although_its_row_could_not_be_read_at_once) {
-  Busy b{38, {}, 20};
-  Region& r = b.r;
-  const auto other = r.others_of(b.old, 1);
-  r.cut_links(b.old, 400);
+  BusyRegion busy{38, {}, 20};
+  Region& r = busy.r;
+  const auto other = r.others_of(busy.old_leader, 1);
+  r.cut_links(busy.old_leader, 400);
   bool noted = false;
   r.store().on_commit = [&](const nlohmann::json& txn, bool) {
     if (noted || !sets(txn, "i/job-")) return;
     noted = true;
-    r.store().faults(b.old).slower = seconds(0.9);
-    r.store().faults(b.old).slower_until = r.now() + seconds(4);
+    r.store().faults(busy.old_leader).slower = seconds(0.9);
+    r.store().faults(busy.old_leader).slower_until = r.now() + seconds(4);
   };
   const auto before = r.rules().started();
   const JobId id = r.submit_array(2, 5, other);
   ASSERT_TRUE(r.run_until(5, [&] { return noted; }));
-  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().work(id).reported_done.has_value(); })) << "it never ran";
+  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().job(id).reported_done.has_value(); })) << "it never ran";
   EXPECT_GT(r.rules().started(), before);
-  EXPECT_EQ("", r.breaches());
+  EXPECT_EQ("", r.violations());
 }
 
 // 4. The lead goes over and comes back, and comes back to a new process too, within seconds.
 TEST(failure_combinations, leadership_fails_over_and_back) {
   for (const std::uint64_t seed : {41U, 42U, 43U, 44U}) {
-    Busy b{seed, {}, 15};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 15};
+    Region& r = busy.r;
     std::set<std::size_t> leaders;
     std::size_t changes = 0;
     for (int i = 0; i < 8; ++i) {
@@ -269,7 +273,8 @@
       if (i % 3 == 2) {
         for (std::size_t c = 0; c < 3; ++c) r.kill_for(c, c == *l ? 0.5 : 20);
       }
-      if (!b.jobs.empty()) r.cancel(b.jobs.at(static_cast<std::size_t>(i) % b.jobs.size()), {r.pick(), r.pick()});
+      if (!busy.jobs.empty())
+        r.cancel(busy.jobs.at(static_cast<std::size_t>(i) % busy.jobs.size()), {r.pick(), r.pick()});
       r.run_until(20, [&] { return r.leader().has_value() && r.token_of(*r.leader()) > 0; });
       r.run(3);
       ++changes;
@@ -277,7 +282,7 @@
     EXPECT_GT(leaders.size(), 1U);
     EXPECT_GT(changes, 4U);
     r.run(25);
-    b.ends_well(400);
+    busy.ends_well(400);
   }
 }
 
@@ -287,8 +292,8 @@
   region::RegionOptions options;
   options.cloud_rps = 0.25;
   options.machines = 12;
-  Busy b{45, options, 8};
-  Region& r = b.r;
+  BusyRegion busy{45, options, 8};
+  Region& r = busy.r;
   std::size_t met = 0;
   for (int i = 0; i < 6; ++i) {
     const auto l = r.leader();
@@ -307,47 +312,47 @@
   }
   EXPECT_GT(met, 0U) << "machines were to go back";
   EXPECT_EQ(0U, r.released_busy());
-  b.ends_well(700);
+  busy.ends_well(700);
 }
 
 // 4 and 7. Another node writes a note anew while the leader removes the one before: that is no reason to give way.
 TEST(failure_combinations, a_rewritten_notification_does_not_end_a_leadership) {
-  Busy b{46};
-  Region& r = b.r;
-  const auto other = r.others_of(b.old, 1);
-  r.cut_links(b.old, 40);
-  const std::string key = "i/" + b.jobs.at(0).value();
+  BusyRegion busy{46};
+  Region& r = busy.r;
+  const auto other = r.others_of(busy.old_leader, 1);
+  r.cut_links(busy.old_leader, 40);
+  const std::string key = "i/" + busy.jobs.at(0).value();
   bool late = false;
   r.store().make_late(
       [&](std::size_t from, const nlohmann::json& txn) {
-        late = late || (from == b.old && txn.dump().find("\"remove\":\"" + key) != std::string::npos);
+        late = late || (from == busy.old_leader && txn.dump().find("\"remove\":\"" + key) != std::string::npos);
         return late;
       },
       seconds(3));
-  r.cancel(b.jobs.at(0), {other});
+  r.cancel(busy.jobs.at(0), {other});
   ASSERT_TRUE(r.run_until(10, [&] { return late; })) << "the note's removal is sent";
   r.run(0.3);
   r.store().write(key, {{"cancel", true}, {"node", "beech"}});  // the same user, by another node
   r.run(12);
-  EXPECT_EQ(b.old, r.leader());
-  EXPECT_EQ(0U, r.logged(b.old, "leads no more"));
+  EXPECT_EQ(busy.old_leader, r.leader());
+  EXPECT_EQ(0U, r.logged(busy.old_leader, "leads no more"));
   EXPECT_TRUE(r.run_until(10, [&] { return !r.store().has(key); })) << "and the note goes in the end";
-  b.ends_well(700);
+  busy.ends_well(700);
 }
 
 // 4. A process that has just begun, and that the store refused until now, does not know yet what all nodes understand:
 // a job that awaits others stands at a key that it would not look at.
 TEST(failure_combinations, a_starting_node_finds_jobs_with_open_dependencies) {
-  Busy b{47};
-  Region& r = b.r;
-  const auto other = r.others_of(b.old, 1);
-  ASSERT_TRUE(r.run_until(20, [&] { return r.logged(b.old, "all nodes have reached level") > 0; }));
+  BusyRegion busy{47};
+  Region& r = busy.r;
+  const auto other = r.others_of(busy.old_leader, 1);
+  ASSERT_TRUE(r.run_until(20, [&] { return r.logged(busy.old_leader, "all nodes have reached level") > 0; }));
   JobSpec chained;
   chained.tasks = 1;
   chained.need = {1, 1, 8};
-  chained.dependencies = {b.jobs.at(0)};
+  chained.dependencies = {busy.jobs.at(0)};
   const JobId id = r.submit(chained, 5);
-  ASSERT_TRUE(r.run_until(10, [&] { return r.rules().work(id).accepted.has_value(); }));
+  ASSERT_TRUE(r.run_until(10, [&] { return r.rules().job(id).accepted.has_value(); }));
   r.kill(other);
   r.start(other);
   r.cut_links(other, 10);
@@ -357,32 +362,32 @@
     r.ask_once(id, other);
     r.run(0.02);
   }
-  EXPECT_EQ("", r.breaches());
-  b.ends_well(700);
+  EXPECT_EQ("", r.violations());
+  busy.ends_well(700);
 }
 
 // 5. Jobs of two or three tasks that end far apart, with a new leader in between.
 TEST(failure_combinations, small_jobs_end_far_apart_across_changes_of_leader) {
   for (const std::uint64_t seed : {51U, 52U, 53U}) {
-    Busy b{seed, {}, 5};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 5};
+    Region& r = busy.r;
     std::vector<JobId> small;
     for (std::uint32_t i = 0; i < 8; ++i) {
       const JobId id = r.submit_array(2 + i % 2, 4);
-      r.rules().works().at(id).stagger_s = 14;
+      r.rules().jobs().at(id).stagger_s = 14;
       small.push_back(id);
     }
     std::size_t apart = 0;
     for (int i = 0; i < 5; ++i) {
       r.run(7);
       apart += static_cast<std::size_t>(std::ranges::count_if(small, [&](const JobId& id) {
-        const auto& w = r.rules().work(id);
+        const auto& w = r.rules().job(id);
         return !w.completed.empty() && w.completed.size() < w.spec.tasks;
       }));
       if (const auto l = r.leader()) r.kill_for(*l, seed % 2 == 0 ? 0.2 : 5);
     }
     EXPECT_GT(apart, 4U) << "the leader ended between the ends of a job's tasks";
-    b.ends_well(400);
+    busy.ends_well(400);
   }
 }
 
@@ -391,8 +396,8 @@
   for (const std::uint64_t seed : {61U, 62U, 63U, 64U}) {
     region::RegionOptions options;
     options.team_gpus = 24;
-    Busy b{seed, options, 60};
-    Region& r = b.r;
+    BusyRegion busy{seed, options, 60};
+    Region& r = busy.r;
     for (int i = 0; i < 3; ++i) {
       JobSpec gang;
       gang.kind = JobKind::gang;
@@ -413,41 +418,41 @@
       }
     }
     EXPECT_GT(with_work, 0U);
-    r.kill_for(b.old, 6);
+    r.kill_for(busy.old_leader, 6);
     ASSERT_TRUE(r.run_until(20, [&] { return r.leader().has_value(); }));
-    r.cancel(b.jobs.at(0), {r.others_of(b.old, 1)});
+    r.cancel(busy.jobs.at(0), {r.others_of(busy.old_leader, 1)});
     r.run(40);
-    b.ends_well(700);
+    busy.ends_well(700);
   }
 }
 
 // 7. The leader's own submission is stored after it gave it up: no note goes with it.
 TEST(failure_combinations, a_submission_stored_late_runs) {
-  Busy b{71, {}, 20};
-  Region& r = b.r;
-  const auto other = r.others_of(b.old, 1);
+  BusyRegion busy{71, {}, 20};
+  Region& r = busy.r;
+  const auto other = r.others_of(busy.old_leader, 1);
   bool late = false;
   r.store().make_late(
       [&](std::size_t from, const nlohmann::json& txn) {
-        late = late || (from == b.old && sets(txn, "j/"));
+        late = late || (from == busy.old_leader && sets(txn, "j/"));
         return late;
       },
       seconds(3));
-  const JobId id = r.submit_array(2, 5, b.old);
+  const JobId id = r.submit_array(2, 5, busy.old_leader);
   ASSERT_TRUE(r.run_until(3, [&] { return late; }));
   r.poll_at(id, {other});
-  r.cut_links(b.old, 8);
-  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().work(id).reported_done.has_value(); })) << "it never ran";
+  r.cut_links(busy.old_leader, 8);
+  EXPECT_TRUE(r.run_until(60, [&] { return r.rules().job(id).reported_done.has_value(); })) << "it never ran";
   EXPECT_EQ(1U, r.store().late());
-  EXPECT_EQ("", r.breaches());
+  EXPECT_EQ("", r.violations());
 }
 
 TEST(failure_combinations, writes_are_carried_out_late) {
   std::size_t late = 0;
   std::size_t refused = 0;
   for (const std::uint64_t seed : {72U, 73U, 74U}) {
-    Busy b{seed, {}, 12};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 12};
+    Region& r = busy.r;
     for (std::size_t c = 0; c < 3; ++c) {
       r.store().faults(c).late_share = 0.3;
       r.store().faults(c).late_until = r.now() + seconds(60);
@@ -462,7 +467,7 @@
     r.run(15);
     late += r.store().late();
     refused += r.store().late_refused();
-    b.ends_well(400);
+    busy.ends_well(400);
   }
   EXPECT_GT(late, 5U);
   EXPECT_GT(refused, 10U);
@@ -471,13 +476,14 @@
 // 8. A start is held on its way while the job is cancelled, and the store fails in the moment in which its worker
 // would be told: the start comes after the job's tasks have to be gone.
 TEST(failure_combinations, a_start_is_delayed_longer_than_a_cancellation_may_take) {
-  Busy b{81};
-  Region& r = b.r;
+  BusyRegion busy{81};
+  Region& r = busy.r;
   for (auto& w : r.workers()) w->hold_next_start(seconds(40));
   const JobId id = r.submit_array(1, 100);
   Worker* holder = nullptr;
-  ASSERT_TRUE(r.run_until(10, [&] { return r.logged(b.old, "task " + id.value() + "/0 attempt 1 placed") > 0; }));
-  const auto& machines = r.machines_of(b.old, id);
+  ASSERT_TRUE(
+      r.run_until(10, [&] { return r.logged(busy.old_leader, "task " + id.value() + "/0 attempt 1 placed") > 0; }));
+  const auto& machines = r.machines_of(busy.old_leader, id);
   for (auto& w : r.workers()) {
     if (machines.contains(w->id())) holder = w.get();
   }
@@ -485,13 +491,13 @@
   r.run(2.2);  // the command is unanswered
   // No report of it arrives until the leader cannot prove itself any more.
   holder->lose_uplink(seconds(4));
-  r.cancel(id, {b.old});
-  ASSERT_TRUE(r.run_until(2, [&] { return r.rules().work(id).reported_cancelled.has_value(); }));
+  r.cancel(id, {busy.old_leader});
+  ASSERT_TRUE(r.run_until(2, [&] { return r.rules().job(id).reported_cancelled.has_value(); }));
   r.store().fail_for(seconds(11));
   r.run(45);
   EXPECT_GT(holder->executed_late(), 0U) << "the start was held";
-  EXPECT_EQ("", r.breaches());
-  b.ends_well(700);
+  EXPECT_EQ("", r.violations());
+  busy.ends_well(700);
 }
 
 }  // namespace
--- a/tests/failure_combinations_users_test.cpp
+++ b/tests/failure_combinations_users_test.cpp
@@ -1,13 +1,13 @@
 // Meetings in which users take part: questions at all nodes within milliseconds, answers lost, cancellations while work
 // changes hands and at the moment of an end, swarms, requests that must not be taken. docs/safety.md argues each.
-#include "region/busy.hpp"
+#include "region/busy_region.hpp"
 #include "wire/user_codec.hpp"
 
 namespace martenwall {
 namespace {
 
 using nlohmann::json;
-using region::Busy;
+using region::BusyRegion;
 using region::Region;
 using region::RegionOptions;
 using region::sets;
@@ -24,10 +24,10 @@
 TEST(failure_combinations, users_ask_all_nodes_within_milliseconds) {
   for (const std::uint64_t seed : {101U, 102U, 103U, 104U}) {
     SCOPED_TRACE(seed);
-    Busy b{seed, {}, 6};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 6};
+    Region& r = busy.r;
     r.look_closely(0.4);
-    JobId last = b.jobs.front();
+    JobId last = busy.jobs.front();
     for (int i = 0; i < 14; ++i) {
       r.submit(small_job(1 + static_cast<std::uint32_t>(i) % 3, i % 4 == 3 ? JobKind::gang : JobKind::array), 2);
       auto chained = small_job(1);
@@ -45,7 +45,7 @@
       if (i == 11) r.store().fail_for(seconds(3));
     }
     r.run(10);
-    b.ends_well(400);
+    busy.ends_well(400);
     EXPECT_GT(r.looks(), 400U);
   }
 }
@@ -55,8 +55,8 @@
   std::size_t lost = 0;
   for (const std::uint64_t seed : {111U, 112U, 113U, 114U}) {
     SCOPED_TRACE(seed);
-    Busy b{seed, {}, 8};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 8};
+    Region& r = busy.r;
     r.look_closely(0.3);
     for (std::size_t c = 0; c < 3; ++c) {
       auto& faults = r.store().faults(c);
@@ -76,15 +76,15 @@
     }
     r.run(15);
     lost += r.store().late();
-    b.ends_well(400);
+    busy.ends_well(400);
   }
   EXPECT_GT(lost, 80U);
 }
 
 // Its writer never hears of the key that it wrote, and is refused the read that would tell.
 TEST(failure_combinations, a_leader_key_whose_writer_gets_no_response) {
-  Busy b{115};
-  Region& r = b.r;
+  BusyRegion busy{115};
+  Region& r = busy.r;
   std::optional<std::size_t> writer;
   r.store().make_late(
       [&](std::size_t from, const json& txn) {
@@ -95,24 +95,24 @@
   r.store().on_commit = [&](const json& txn, bool late) {
     if (late && writer && sets(txn, "lead")) r.store().faults(*writer).refuses_until = r.now() + seconds(1.9);
   };
-  r.kill_for(b.old, 20);
+  r.kill_for(busy.old_leader, 20);
   ASSERT_TRUE(r.run_until(10, [&] { return writer.has_value(); }));
-  r.cancel(b.jobs.at(0), {r.others_of(b.old, 1), r.others_of(b.old, 2)});
+  r.cancel(busy.jobs.at(0), {r.others_of(busy.old_leader, 1), r.others_of(busy.old_leader, 2)});
   EXPECT_TRUE(r.run_until(15, [&] { return r.leader().has_value(); })) << "someone leads in the end";
-  EXPECT_TRUE(r.run_until(15, [&] { return r.rules().work(b.jobs.at(0)).reported_cancelled.has_value(); }));
+  EXPECT_TRUE(r.run_until(15, [&] { return r.rules().job(busy.jobs.at(0)).reported_cancelled.has_value(); }));
   EXPECT_EQ(1U, r.store().late());
-  b.ends_well(700);
+  busy.ends_well(700);
 }
 
 // Written, and its user never told; asked for, submitted again and called off elsewhere.
 TEST(failure_combinations, a_stored_submission_whose_user_got_no_response) {
   for (const bool by_leader : {true, false}) {
     SCOPED_TRACE(by_leader);
-    Busy b{116, {}, 20};
-    Region& r = b.r;
+    BusyRegion busy{116, {}, 20};
+    Region& r = busy.r;
     r.look_closely();
-    const auto at = by_leader ? b.old : r.others_of(b.old, 1);
-    const auto other = r.others_of(b.old, 2);
+    const auto at = by_leader ? busy.old_leader : r.others_of(busy.old_leader, 1);
+    const auto other = r.others_of(busy.old_leader, 2);
     r.cut_links(at, 6);
     bool stored = false;
     r.store().make_late([&](std::size_t from, const json& txn) { return stored = from == at && sets(txn, "j/"); },
@@ -122,10 +122,10 @@
     r.ask_once(id, other);
     r.submit_again(id, other);
     r.run(0.3);
-    EXPECT_TRUE(r.rules().work(id).accepted.has_value()) << "the other node found it";
+    EXPECT_TRUE(r.rules().job(id).accepted.has_value()) << "the other node found it";
     r.cancel(id, {other});
-    EXPECT_TRUE(r.run_until(20, [&] { return r.rules().work(id).reported_cancelled.has_value(); }));
-    b.ends_well(300);
+    EXPECT_TRUE(r.run_until(20, [&] { return r.rules().job(id).reported_cancelled.has_value(); }));
+    busy.ends_well(300);
   }
 }
 
@@ -134,29 +134,30 @@
   for (const double after : {0.0, 0.4, 0.9, 1.5, 2.0, 2.3, 2.6, 3.2}) {
     for (const bool killed : {false, true}) {
       SCOPED_TRACE(std::to_string(after) + (killed ? " killed" : " refused"));
-      Busy b{121};
-      Region& r = b.r;
+      BusyRegion busy{121};
+      Region& r = busy.r;
       for (auto& w : r.workers()) w->hold_next_start(seconds(3));
       std::vector<JobId> fresh;
       for (int i = 0; i < 3; ++i) fresh.push_back(r.submit_array(2, 60));
       r.run(0.6);
       if (killed) {
-        r.kill_for(b.old, 8);
+        r.kill_for(busy.old_leader, 8);
       } else {
-        r.store().faults(b.old).refuses_until = r.now() + seconds(8);
+        r.store().faults(busy.old_leader).refuses_until = r.now() + seconds(8);
       }
       r.run(after);
-      const bool changing = !r.leader() || *r.leader() != b.old || after < 2;
-      for (std::size_t i = 0; i < 3; ++i) r.cancel(b.jobs.at(i), {r.others_of(b.old, i), r.others_of(b.old, i + 1)});
-      for (const auto& id : fresh) r.cancel(id, {r.others_of(b.old, 1), b.old});
+      const bool changing = !r.leader() || *r.leader() != busy.old_leader || after < 2;
+      for (std::size_t i = 0; i < 3; ++i)
+        r.cancel(busy.jobs.at(i), {r.others_of(busy.old_leader, i), r.others_of(busy.old_leader, i + 1)});
+      for (const auto& id : fresh) r.cancel(id, {r.others_of(busy.old_leader, 1), busy.old_leader});
       EXPECT_TRUE(changing);
       const auto all_told = [&] {
         return std::ranges::all_of(fresh,
-                                   [&](const JobId& id) { return r.rules().work(id).reported_cancelled.has_value(); });
+                                   [&](const JobId& id) { return r.rules().job(id).reported_cancelled.has_value(); });
       };
       EXPECT_TRUE(r.run_until(15, all_told)) << "each is confirmed within seconds of a leader's being there";
       r.run(30);
-      b.ends_well(700);
+      busy.ends_well(700);
     }
   }
 }
@@ -167,16 +168,16 @@
   std::size_t cancelled = 0;
   for (const std::uint64_t seed : {131U, 132U, 133U}) {
     SCOPED_TRACE(seed);
-    Busy b{seed, {}, 6};
-    Region& r = b.r;
+    BusyRegion busy{seed, {}, 6};
+    Region& r = busy.r;
     r.look_closely();
     r.cancel_at_end(0.7);
     for (int i = 0; i < 40; ++i) {
       r.submit(small_job(1 + static_cast<std::uint32_t>(i) % 3, i % 3 == 2 ? JobKind::gang : JobKind::array), 2);
       r.run(0.7);
     }
-    b.ends_well(200);
-    for (const auto& [id, w] : r.rules().works()) {
+    busy.ends_well(200);
+    for (const auto& [id, w] : r.rules().jobs()) {
       if (!w.cancel_asked) continue;
       ++(w.reported_done ? done : cancelled);
     }
@@ -188,8 +189,8 @@
 TEST(failure_combinations, one_task_jobs_run_for_minutes) {
   RegionOptions options;
   options.write_rps = 30;
-  Busy b{141, options, 5};
-  Region& r = b.r;
+  BusyRegion busy{141, options, 5};
+  Region& r = busy.r;
   r.run(20);
   const auto before = r.store().changes();
   std::vector<JobId> jobs;
@@ -198,13 +199,13 @@
     if (i % 4 == 1) r.cancel(jobs.at(jobs.size() - 2), {r.pick(), r.pick()});
     r.run(0.25);
   }
-  b.ends_well(60);
+  busy.ends_well(60);
   const double each = static_cast<double>(r.store().changes() - before) / static_cast<double>(jobs.size());
   // Submission, row of the task, end with removal of the job's own row, removal of the task's row.
   EXPECT_LT(each, 7.0) << "changes of the store for each job";
   double worst = 0;
   for (const auto& id : jobs) {
-    const auto& w = r.rules().work(id);
+    const auto& w = r.rules().job(id);
     ASSERT_TRUE(w.accepted.has_value());
     worst = std::max(worst, to_seconds(*w.accepted - w.submitted));
   }
@@ -283,16 +284,16 @@
 
 // The same verdict at each node, a leader or not, one that has just begun too; and nothing of it is stored.
 TEST(failure_combinations, each_node_gets_odd_requests) {
-  Busy b{151};
-  Region& r = b.r;
-  r.kill(r.others_of(b.old, 2));
-  r.start(r.others_of(b.old, 2));
+  BusyRegion busy{151};
+  Region& r = busy.r;
+  r.kill(r.others_of(busy.old_leader, 2));
+  r.start(r.others_of(busy.old_leader, 2));
   std::size_t unsure = 0;
   for (const auto& odd : odd_requests()) {
     for (std::size_t c = 0; c < 3; ++c) {
       const auto answer = r.request(c, "POST", "/api/jobs", odd.body.dump());
       if (answer.status == 503) ++unsure;  // it knows no machine types yet
-      EXPECT_TRUE(answer.status == odd.status || (answer.status == 503 && c == r.others_of(b.old, 2)))
+      EXPECT_TRUE(answer.status == odd.status || (answer.status == 503 && c == r.others_of(busy.old_leader, 2)))
           << odd.what << " at " << c << ": " << answer.status << " " << answer.body;
     }
     for (const char* row : {"j/job-900000", "k/job-900000", "f/job-900000", "i/job-900000"}) {
@@ -305,9 +306,9 @@
     EXPECT_EQ(404, r.request(c, "POST", "/api/jobs/job-900000/cancel", "").status);
   }
   // A job that can run, unfinished: its submission again is no new one, whatever is asked of it.
-  json again = wire::encode_job(r.rules().work(b.jobs.at(0)).spec);
+  json again = wire::encode_job(r.rules().job(busy.jobs.at(0)).spec);
   const JobId done = r.submit_array(1, 1);
-  ASSERT_TRUE(r.run_until(20, [&] { return r.rules().work(done).reported_done.has_value(); }));
+  ASSERT_TRUE(r.run_until(20, [&] { return r.rules().job(done).reported_done.has_value(); }));
   for (std::size_t c = 0; c < 3; ++c) {
     EXPECT_EQ(200, r.request(c, "POST", "/api/jobs", again.dump()).status);
     json changed = again;
@@ -317,7 +318,7 @@
     EXPECT_EQ(200, cancelled.status);
     EXPECT_EQ("done", json::parse(cancelled.body).at("phase"));
   }
-  b.ends_well(400);
+  busy.ends_well(400);
 }
 
 }  // namespace
--- a/tests/heartbeat_relay_test.cpp
+++ b/tests/heartbeat_relay_test.cpp
@@ -270,7 +270,7 @@
 }
 
 // Everything of a node that reports pass through.
-struct Side {
+struct RelayNode {
   Context ctx;
   StoreClient state{ctx};
   JobRowStore rows{ctx, state};
@@ -282,7 +282,7 @@
   bool old_version = false;
   PeerService peers;
   HeartbeatRelay relay{ctx, peers, workers};
-  Side(rt::Loop& loop, const config::Settings& s, const std::shared_ptr<spdlog::logger>& log)
+  RelayNode(rt::Loop& loop, const config::Settings& s, const std::shared_ptr<spdlog::logger>& log)
       : ctx(loop, s, relaying(), log), peers(ctx, [this](wire::PeerRequest r) { return serve(std::move(r)); }) {}
   rt::Task<wire::PeerReply> serve(wire::PeerRequest r) {
     wire::PeerReply reply{503, "", {}};
@@ -306,13 +306,13 @@
   }
 };
 
-struct Two {
+struct RelayPair {
   rt::Loop loop;
   std::shared_ptr<spdlog::logger> log =
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
-  Side leader{loop, settings_of("lead", {}), log};
-  Side other{loop, settings_of("other", {{"lead", "a", "127.0.0.1:" + std::to_string(leader.peers.port())}}), log};
-  Two() {
+  RelayNode leader{loop, settings_of("lead", {}), log};
+  RelayNode other{loop, settings_of("other", {{"lead", "a", "127.0.0.1:" + std::to_string(leader.peers.port())}}), log};
+  RelayPair() {
     rt::spawn(leader.peers.serve());
     rt::spawn(other.relay.run());
   }
@@ -334,11 +334,11 @@
 };
 
 TEST(heartbeat_relay, a_follower_passes_on_the_leaders_responses_under_the_leaders_token) {
-  Two t;
+  RelayPair t;
   t.leader.lead(12);
   t.other.ctx.leader = "lead";
   std::vector<std::optional<rt::HttpResponse>> out(150);
-  for (int i = 0; i < 150; ++i) rt::spawn(t.ask(Two::report(i, 1, 0), out[static_cast<std::size_t>(i)]));
+  for (int i = 0; i < 150; ++i) rt::spawn(t.ask(RelayPair::report(i, 1, 0), out[static_cast<std::size_t>(i)]));
   const auto missing = [&] { return std::ranges::any_of(out, [](const auto& r) { return !r.has_value(); }); };
   const Time until = t.loop.refresh() + seconds(30);
   while (missing() && t.loop.now() < until) t.loop.step();
@@ -352,31 +352,31 @@
 
 // It must never say 200 of its own: such an answer would keep the worker while its lease runs out.
 TEST(heartbeat_relay, workers_are_redirected_while_no_leader_accepts_them) {
-  Two t;
+  RelayPair t;
   t.other.ctx.leader = "lead";  // it does not lead any more: the other learns that only from its answers
-  EXPECT_EQ(421, t.answer_of(Two::report(1, 1, 0)).status);
+  EXPECT_EQ(421, t.answer_of(RelayPair::report(1, 1, 0)).status);
   t.leader.lead(12);
   t.leader.refuses = true;  // reports; a link that is up and a node that says no
-  const auto r = t.answer_of(Two::report(1, 2, 0));
+  const auto r = t.answer_of(RelayPair::report(1, 2, 0));
   EXPECT_EQ(421, r.status);
   EXPECT_NE(std::string::npos, r.body.find("lead")) << "the worker may get through where this node does not";
   EXPECT_GE(t.other.ctx.redirected_workers.stranded(t.loop.now()), 1U);
 }
 
 TEST(heartbeat_relay, workers_of_a_leader_of_an_older_version_are_redirected_at_once) {
-  Two t;
+  RelayPair t;
   t.leader.lead(12);
   t.leader.old_version = true;
   t.other.ctx.leader = "lead";
-  EXPECT_EQ(421, t.answer_of(Two::report(1, 1, 0)).status);
+  EXPECT_EQ(421, t.answer_of(RelayPair::report(1, 1, 0)).status);
   EXPECT_TRUE(t.leader.ctx.scheduler->machines().empty());
 }
 
 TEST(heartbeat_relay, a_relayed_newer_token_ends_the_older_leader) {
-  Two t;
+  RelayPair t;
   t.leader.lead(12);
   t.other.ctx.leader = "lead";
-  EXPECT_EQ(421, t.answer_of(Two::report(1, 1, 13)).status);
+  EXPECT_EQ(421, t.answer_of(RelayPair::report(1, 1, 13)).status);
   EXPECT_EQ(nullptr, t.leader.ctx.scheduler);
 }
 
--- a/tests/leader_reachability_test.cpp
+++ b/tests/leader_reachability_test.cpp
@@ -9,10 +9,11 @@
 const WorkerTerms terms{3, 19, 50, 4, 39};
 
 // Asks each half second what the leader makes of it; returns when it gives up, if it does.
-std::optional<Time> judged(LeaderReachability& h, Time from, double long_s, std::size_t heard, std::size_t stranded) {
+std::optional<Time> find_step_down(LeaderReachability& reachability, Time from, double long_s, std::size_t reporting,
+                                   std::size_t stranded) {
   for (Time now = from; now < from + seconds(long_s); now += seconds(0.5)) {
-    if (stranded > 0) h.on_stranded_report("other", stranded, now);
-    if (h.should_step_down(heard, now)) return now;
+    if (stranded > 0) reachability.on_stranded_report("other", stranded, now);
+    if (reachability.should_step_down(reporting, now)) return now;
   }
   return std::nullopt;
 }
@@ -20,28 +21,28 @@
 // On the operations days the leader lost the workers' side alone: it renewed its lease and held the fleet
 // until every worker's lease had ended.
 TEST(leader_reachability, an_unreachable_leader_steps_down_well_before_lease_expiry) {
-  LeaderReachability h{terms};
-  h.on_leadership_began(Time{seconds(100)});
+  LeaderReachability reachability{terms};
+  reachability.on_leadership_began(Time{seconds(100)});
   const Time cut{seconds(200)};
-  EXPECT_FALSE(judged(h, cut - seconds(20), 20, 300, 0));
-  const auto gave_up = judged(h, cut, 20, 0, 300);
-  ASSERT_TRUE(gave_up);
-  EXPECT_LT(*gave_up - cut, seconds(terms.lease_s / 3));
-  EXPECT_EQ(LeaderReachabilityState::unreachable, h.state());
-  EXPECT_GT(h.campaign_delay(*gave_up), Duration{0});
-  h.on_heartbeat(*gave_up + seconds(1));
-  EXPECT_EQ(Duration{0}, h.campaign_delay(*gave_up + seconds(1)));
+  EXPECT_FALSE(find_step_down(reachability, cut - seconds(20), 20, 300, 0));
+  const auto stepped_down = find_step_down(reachability, cut, 20, 0, 300);
+  ASSERT_TRUE(stepped_down);
+  EXPECT_LT(*stepped_down - cut, seconds(terms.lease_s / 3));
+  EXPECT_EQ(LeaderReachabilityState::unreachable, reachability.state());
+  EXPECT_GT(reachability.campaign_delay(*stepped_down), Duration{0});
+  reachability.on_heartbeat(*stepped_down + seconds(1));
+  EXPECT_EQ(Duration{0}, reachability.campaign_delay(*stepped_down + seconds(1)));
 }
 
 // A quiet fleet, a wave of lost machines or a cut that all nodes share leave no worker at another node.
-RC_GTEST_PROP(leader_reachability, silence_alone_ends_no_leadership, (const std::vector<std::uint8_t>& heard)) {
-  LeaderReachability h{terms};
+RC_GTEST_PROP(leader_reachability, silence_alone_ends_no_leadership, (const std::vector<std::uint8_t>& reporting)) {
+  LeaderReachability reachability{terms};
   Time now{seconds(100)};
-  h.on_leadership_began(now);
-  for (const auto n : heard) {
+  reachability.on_leadership_began(now);
+  for (const auto n : reporting) {
     now += seconds(0.5);
-    RC_ASSERT(!h.should_step_down(n, now));
-    RC_ASSERT(h.state() == LeaderReachabilityState::reachable);
+    RC_ASSERT(!reachability.should_step_down(n, now));
+    RC_ASSERT(reachability.state() == LeaderReachabilityState::reachable);
   }
 }
 
@@ -54,35 +55,35 @@
   LeaderReachability b{terms};
   a.on_leadership_began(start);
   b.on_leadership_began(start);
-  const bool a_gives_up = judged(a, start, 60, here, there).has_value();
-  const bool b_gives_up = judged(b, start, 60, there, here).has_value();
+  const bool a_gives_up = find_step_down(a, start, 60, here, there).has_value();
+  const bool b_gives_up = find_step_down(b, start, 60, there, here).has_value();
   RC_ASSERT(!(a_gives_up && b_gives_up));
 }
 
 TEST(leader_reachability, a_new_leader_is_given_time_to_be_found) {
-  LeaderReachability h{terms};
+  LeaderReachability reachability{terms};
   const Time start{seconds(100)};
-  h.on_leadership_began(start);
-  EXPECT_FALSE(judged(h, start, 5, 0, 300));
-  EXPECT_FALSE(judged(h, start + seconds(5), 20, 300, 40));
+  reachability.on_leadership_began(start);
+  EXPECT_FALSE(find_step_down(reachability, start, 5, 0, 300));
+  EXPECT_FALSE(find_step_down(reachability, start + seconds(5), 20, 300, 40));
 }
 
 TEST(leader_reachability, an_old_report_of_stranded_workers_does_not_count) {
-  LeaderReachability h{terms};
+  LeaderReachability reachability{terms};
   const Time start{seconds(100)};
-  h.on_leadership_began(start);
-  h.on_stranded_report("other", 300, start);
-  EXPECT_FALSE(judged(h, start + seconds(10), 20, 0, 0));
+  reachability.on_leadership_began(start);
+  reachability.on_stranded_report("other", 300, start);
+  EXPECT_FALSE(find_step_down(reachability, start + seconds(10), 20, 0, 0));
 }
 
 // A note of stranded workers that the store carried out late, long after it was true.
 TEST(leader_reachability, one_report_of_stranded_workers_alone_ends_no_leadership) {
-  LeaderReachability h{terms};
+  LeaderReachability reachability{terms};
   const Time start{seconds(100)};
-  h.on_leadership_began(start);
-  h.on_stranded_report("other", 300, start + seconds(20));
-  EXPECT_FALSE(judged(h, start + seconds(20), 10, 40, 0));
-  EXPECT_EQ(LeaderReachabilityState::reachable, h.state());
+  reachability.on_leadership_began(start);
+  reachability.on_stranded_report("other", 300, start + seconds(20));
+  EXPECT_FALSE(find_step_down(reachability, start + seconds(20), 10, 40, 0));
+  EXPECT_EQ(LeaderReachabilityState::reachable, reachability.state());
 }
 
 // A day of our own: with two of three nodes silent a worker came back after ten seconds, too late to count.
--- a/tests/matcher_test.cpp
+++ b/tests/matcher_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A generated round: a few jobs of all kinds and machines of two zones, partly used, with some images.
-struct Scene {
+struct GeneratedProblem {
   Policy policy;
   MachineType type{"g", {16, 8, 64}, 50, 1, 10, 3, 40, {"a", "b"}};
   std::map<std::string, Team> teams{{"red", {"red", {}, {0, 20, 0}}}, {"blue", {"blue", {}, {0, 9, 0}}}};
@@ -18,7 +18,7 @@
   std::map<MachineId, Machine> machines;
   PlacementProblem problem{Time{seconds(1000)}, policy, {}, {}};
 
-  Scene() {
+  GeneratedProblem() {
     const int job_count = *rc::gen::inRange(1, 9);
     for (int i = 0; i < job_count; ++i) add_job(i);
     const int machine_count = *rc::gen::inRange(1, 9);
@@ -56,9 +56,9 @@
 using Placed = std::vector<std::pair<std::size_t, std::vector<std::size_t>>>;
 
 // The matching as it is defined: all entries by value, the highest first.
-class Plain {
+class PlainMatcher {
  public:
-  explicit Plain(Scene& s)
+  explicit PlainMatcher(GeneratedProblem& s)
       : s_(s), matrix_(build_scores(s.problem)), quota_usage_(s.teams), zones_(s.problem.jobs.size()) {}
   Placed run() {
     std::vector<std::pair<std::size_t, std::size_t>> entries;
@@ -136,7 +136,7 @@
     return out;
   }
 
-  Scene& s_;
+  GeneratedProblem& s_;
   ScoreMatrix matrix_;
   QuotaUsage quota_usage_;
   std::vector<ZoneCounts> zones_;
@@ -145,7 +145,7 @@
 
 // Sorting rows only when their turn comes must give the very matches of sorting all entries.
 RC_GTEST_PROP(matcher, places_as_a_plain_highest_first_walk_does, ()) {
-  Scene scene;
+  GeneratedProblem scene;
   PlacementProblem problem = scene.problem;
   const auto matrix = build_scores(problem);
   ScoreMatrix copy = matrix;
@@ -153,14 +153,14 @@
   Placed lazy;
   for (auto& match : Matcher{problem, copy, quota_usage, scene.machines}.run())
     lazy.emplace_back(match.row, match.columns);
-  const auto plain = Plain{scene}.run();
+  const auto plain = PlainMatcher{scene}.run();
   RC_ASSERT(lazy == plain);
 }
 
 // At the registry a fifth of the signing gangs' machine time was lost where an image takes longer to fetch than a
 // task waits for the others: those that had it gave up, and the rest gave up their fetch with them.
 RC_GTEST_PROP(matcher, a_gang_with_a_uniform_image_is_all_cached_or_all_cold, ()) {
-  Scene s;
+  GeneratedProblem s;
   for (auto& row : s.problem.jobs) row.uniform_image = row.job->spec.kind == JobKind::gang;
   auto matrix = build_scores(s.problem);
   QuotaUsage quota_usage{s.teams};
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -18,7 +18,7 @@
 }
 
 // A node and the one other node that it knows, on loopback.
-struct Pair {
+struct NodePair {
   rt::Loop loop;
   std::shared_ptr<spdlog::logger> log =
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
@@ -40,7 +40,7 @@
 
 // Found by inc-4c3d: the first ping, sent once the state service fails, ended the process.
 TEST(peer_service, an_isolated_node_learns_whether_others_are_better_connected) {
-  Pair p;
+  NodePair p;
   rt::spawn(p.here.watch_others());
   EXPECT_EQ(PeerService::Others::unreachable, p.here.others());
   rt::spawn(p.other.serve());
@@ -77,7 +77,7 @@
   Context ctx{loop, settings, Policy{}, log};
   StoreClient state{ctx};
   CloudService here{ctx, state};
-  PeerService peers{ctx, [](wire::PeerRequest) { return Pair::answer(421); }};
+  PeerService peers{ctx, [](wire::PeerRequest) { return NodePair::answer(421); }};
   here.set_peers(peers);
   rt::spawn(here.run_types());
   const Time until = loop.refresh() + seconds(20);
--- a/tests/recorded_rounds_test.cpp
+++ b/tests/recorded_rounds_test.cpp
@@ -40,16 +40,16 @@
 
 std::vector<Day> days() {
   sim::Faults calm;
-  calm.node_crash = calm.state_cut = calm.node_freeze = calm.worker_cut = calm.machine_death = 0;
-  calm.held_command = calm.held_report = calm.lost_answer = calm.task_error = 0;
+  calm.node_crash = calm.store_cut = calm.node_freeze = calm.worker_cut = calm.machine_death = 0;
+  calm.delayed_command = calm.delayed_heartbeat = calm.lost_response = calm.task_error = 0;
   sim::Faults relayed;
   relayed.relays = true;
-  sim::Faults gated;
-  gated.gate_from_start = true;
-  gated.node_crash = 0.02;
-  return {{"calm", 1, calm},   {"calm", 2, calm},   {"mixed", 3, {}},        {"mixed", 4, {}},
-          {"mixed", 5, {}},    {"mixed", 6, {}},    {"relayed", 7, relayed}, {"relayed", 8, relayed},
-          {"gated", 9, gated}, {"gated", 10, gated}};
+  sim::Faults range_rows;
+  range_rows.range_rows_from_start = true;
+  range_rows.node_crash = 0.02;
+  return {{"calm", 1, calm},        {"calm", 2, calm},        {"mixed", 3, {}},        {"mixed", 4, {}},
+          {"mixed", 5, {}},         {"mixed", 6, {}},         {"relayed", 7, relayed}, {"relayed", 8, relayed},
+          {"gated", 9, range_rows}, {"gated", 10, range_rows}};
 }
 
 // One line a minute, so that a difference is found near where it begins: which minute, then a column of what was
@@ -75,7 +75,7 @@
   sim::World world{day.seed, day.faults};
   Digest decisions;
   Digest log;
-  world.decided = [&](const std::string& line) { decisions.add(line); };
+  world.on_decision = [&](const std::string& line) { decisions.add(line); };
   world.trace = [&](const std::string& line) { log.add(line); };
   std::vector<Line> out;
   for (int m = 1; m <= minutes; ++m) {
--- a/tests/region/cloud.cpp
+++ b/tests/region/cloud.cpp
@@ -17,17 +17,18 @@
   return *workers_.back();
 }
 
-rt::HttpResponse Region::hire(const json& wanted) {
+rt::HttpResponse Region::scale_out(const json& wanted) {
   const auto name = wanted.at("hire").get<std::string>();
-  if (const auto known = hired_.find(name); known != hired_.end()) return reply(200, known->second);
+  if (const auto known = scale_out_responses_.find(name); known != scale_out_responses_.end())
+    return reply(200, known->second);
   json hosts = json::array();
   const auto count = wanted.at("count").get<std::size_t>();
   for (std::size_t i = 0; i < count && workers_.size() < options_.most_machines; ++i) {
     hosts.push_back(add_worker(wanted.at("yard"), wanted.at("loaners"), options_.boot_s).id().value());
   }
   if (hosts.empty()) return reply(503, {{"error", "no capacity"}});
-  hired_[name] = {{"hosts", hosts}};
-  return reply(200, hired_[name]);
+  scale_out_responses_[name] = {{"hosts", hosts}};
+  return reply(200, scale_out_responses_[name]);
 }
 
 rt::Task<rt::HttpResponse> Region::cloud(rt::HttpMessage request) {
@@ -48,7 +49,7 @@
     }
     co_return reply(200, json::object());
   }
-  if (request.method == "POST") co_return hire(json::parse(request.body));
+  if (request.method == "POST") co_return scale_out(json::parse(request.body));
   const auto after_at = request.target.find("after=");
   const std::string after = after_at == std::string::npos ? "" : request.target.substr(after_at + 6);
   json hosts = json::array();
--- a/tests/region/controllers.cpp
+++ b/tests/region/controllers.cpp
@@ -38,7 +38,7 @@
     s.peers.push_back({controllers_.at(other).name, "b", at_port(controllers_.at(other).links.at(c)->port())});
   }
   s.cloud = at_port(cloud_.port());
-  s.state = at_port(controllers_.at(c).store_front->port());
+  s.state = at_port(controllers_.at(c).store_server->port());
   s.teams = {{"red", {0, 16, 0}, {0, options_.team_gpus, 0}}};
   s.objectives = {{"wait", "x", 10, 0.9, 1}};
   s.workers = options_.terms;
@@ -110,7 +110,7 @@
   store_.faults(c).refuses_until = now_ + seconds(s);
   cut_links(c, s);
   for (auto& w : workers_) {
-    if (w->zone() == zone) w->keep_to(c, seconds(s));
+    if (w->zone() == zone) w->confine_to(c, seconds(s));
   }
 }
 
--- a/tests/region/links.cpp
+++ b/tests/region/links.cpp
@@ -19,27 +19,27 @@
 rt::Task<void> Region::accept_links(std::size_t from, std::size_t to, rt::Listener& listener) {
   for (;;) {
     auto socket = co_await listener.accept();
-    if (socket && linked(from, to)) rt::spawn(carry(std::move(*socket), from, to));
+    if (socket && linked(from, to)) rt::spawn(forward_connection(std::move(*socket), from, to));
   }
 }
 
-rt::Task<void> Region::carry(rt::Socket from, std::size_t a, std::size_t b) {
+rt::Task<void> Region::forward_connection(rt::Socket from, std::size_t a, std::size_t b) {
   rt::Endpoint to = *rt::Endpoint::parse(at_port(controllers_.at(b).process->node->peers_port()));
   auto there = co_await rt::Socket::connect(loop_, std::move(to), loop_.now() + seconds(1));
   if (!there) co_return;
   auto here = std::make_shared<rt::Socket>(std::move(from));
   auto other = std::make_shared<rt::Socket>(std::move(*there));
-  rt::spawn(pump(here, other, a, b));
-  rt::spawn(pump(other, here, a, b));
+  rt::spawn(forward_bytes(here, other, a, b));
+  rt::spawn(forward_bytes(other, here, a, b));
 }
 
 // Both ends are closed once either is, or the link is cut.
-rt::Task<void> Region::pump(std::shared_ptr<rt::Socket> from, std::shared_ptr<rt::Socket> to, std::size_t a,
-                            std::size_t b) {
+rt::Task<void> Region::forward_bytes(std::shared_ptr<rt::Socket> from, std::shared_ptr<rt::Socket> to, std::size_t a,
+                                     std::size_t b) {
   std::array<char, 16384> buffer{};
   while (linked(a, b) && from->fd() >= 0) {
-    const Time look = loop_.now() + look_every;
-    const long n = co_await from->read_some(buffer.data(), buffer.size(), look);
+    const Time next_look = loop_.now() + look_every;
+    const long n = co_await from->read_some(buffer.data(), buffer.size(), next_look);
     if (n == 0 || (n < 0 && from->abandoned())) break;
     if (n < 0) continue;
     if (!linked(a, b) || to->fd() < 0) break;
@@ -52,7 +52,7 @@
   if (from->fd() >= 0) ::shutdown(from->fd(), SHUT_RDWR);
 }
 
-rt::Task<void> Region::ask_peer(std::size_t at, wire::ConfigurationRequest request, std::shared_ptr<Asked> asked) {
+rt::Task<void> Region::ask_peer(std::size_t at, wire::ConfigurationRequest request, std::shared_ptr<PeerAnswer> asked) {
   constexpr double patience = 12;
   const wire::PeerRequest frame{wire::PeerVerb::configuration, "", wire::encode_configuration_request(request), {}};
   rt::Endpoint to = *rt::Endpoint::parse(at_port(controllers_.at(at).process->node->peers_port()));
@@ -62,11 +62,11 @@
 }
 
 void Region::configure_later(std::size_t at, wire::ConfigurationRequest request) {
-  rt::spawn(ask_peer(at, std::move(request), std::make_shared<Asked>()));
+  rt::spawn(ask_peer(at, std::move(request), std::make_shared<PeerAnswer>()));
 }
 
 std::optional<wire::PeerReply> Region::configure(std::size_t at, wire::ConfigurationRequest request) {
-  const auto asked = std::make_shared<Asked>();
+  const auto asked = std::make_shared<PeerAnswer>();
   rt::spawn(ask_peer(at, std::move(request), asked));
   run_until(13, [&] { return asked->over; });
   return asked->reply;
--- a/tests/region/region.cpp
+++ b/tests/region/region.cpp
@@ -38,10 +38,10 @@
     auto& n = controllers_.at(c);
     n.name = names.at(c);
     n.drift = drifts.at(c);
-    n.store_front =
+    n.store_server =
         std::make_unique<rt::HttpServer>(loop_, any_port(), rt::HttpServer::Bounds{},
                                          [this, c](rt::HttpMessage m) { return store_.handle(c, std::move(m)); });
-    rt::spawn(n.store_front->serve());
+    rt::spawn(n.store_server->serve());
     for (std::size_t from = 0; from < controllers_.size(); ++from) {
       n.links.push_back(std::make_unique<rt::Listener>(loop_, any_port()));
       rt::spawn(accept_links(from, c, *n.links.back()));
@@ -54,7 +54,7 @@
   for (std::size_t c = 0; c < controllers_.size(); ++c) start(c);
 }
 
-bool Region::pass() {
+bool Region::poll_loops() {
   bool any = loop_.poll();
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
     if (!controllers_.at(i).process && now_ >= controllers_.at(i).starts_at) start(i);
@@ -69,12 +69,12 @@
   run_until(seconds_long, [] { return false; });
 }
 
-bool Region::run_until(double longest, const std::function<bool()>& so) {
-  const Time until = now_ + seconds(longest);
+bool Region::run_until(double timeout_s, const std::function<bool()>& condition) {
+  const Time until = now_ + seconds(timeout_s);
   for (;;) {
-    while (pass()) {
+    while (poll_loops()) {
     }
-    if (so()) return true;
+    if (condition()) return true;
     if (now_ >= until) return false;
     now_ += clock_step;
   }
@@ -91,7 +91,7 @@
     stand_ins::Gangs::step(awake, now_);
     rules_.tick(now_);
     watch_leader();
-    if (rules_.calm()) watch_waiting();
+    if (rules_.faults_over()) check_waiting_jobs();
     co_await loop_.sleep(look_every);
   }
 }
--- a/tests/region/region.hpp
+++ b/tests/region/region.hpp
@@ -18,6 +18,7 @@
 
 constexpr Duration look_every = seconds(0.05);
 
+// Size and terms of a region; the defaults suit most tests.
 struct RegionOptions {
   std::size_t controllers = 3, machines = 8;
   bool relay = true;
@@ -29,6 +30,7 @@
   double write_rps = 1e9;  // changes of the store a second
 };
 
+// Controllers and stand-ins of one region, advanced together in virtual time.
 class Region {
  public:
   Region(std::uint64_t seed, RegionOptions options);
@@ -40,9 +42,10 @@
 
   void run(double seconds_long);
   // Until it is so; false where it did not come to pass in that time.
-  bool run_until(double longest, const std::function<bool()>& so);
+  bool run_until(double timeout_s, const std::function<bool()>& condition);
 
   // Controllers.
+  // Ends the process; its coroutines are never resumed.
   void kill(std::size_t c);
   void kill_for(std::size_t c, double s);  // and a new process after that
   void start(std::size_t c);               // a new process
@@ -65,7 +68,7 @@
   void cancel(const JobId& id, std::vector<std::size_t> at);  // asks these controllers in turn until it is answered
   void poll_at(const JobId& id, std::vector<std::size_t> at) { users_.at(id).at = std::move(at); }
   void ask_once(const JobId& id, std::size_t at) { rt::spawn(poll(id, at)); }
-  void submit_again(const JobId& id, std::size_t at) { rt::spawn(repeat(id, at)); }
+  void submit_again(const JobId& id, std::size_t at) { rt::spawn(resubmit(id, at)); }
   // All users ask all controllers, again and again within milliseconds, and repeat submissions and cancellations, right
   // after they heard that a job is accepted, done or cancelled. `cancels`: share of the jobs called off at once.
   void look_closely(double cancels = 0);
@@ -80,8 +83,9 @@
   [[nodiscard]] std::size_t looks() const { return looks_; }  // questions asked by those that look closely
   // Where this leader believes tasks of the job to be.
   [[nodiscard]] std::set<MachineId> machines_of(std::size_t c, const JobId& id) const;
+  // Whether all accepted jobs are reported done or cancelled.
   [[nodiscard]] bool all_over() const;
-  [[nodiscard]] std::string breaches() const;
+  [[nodiscard]] std::string violations() const;
   [[nodiscard]] std::string unfinished() const;  // accepted jobs that are not over
 
   [[nodiscard]] Store& store() { return store_; }
@@ -109,7 +113,7 @@
     std::string name;
     double drift = 0;
     std::unique_ptr<Process> process;
-    std::unique_ptr<rt::HttpServer> store_front;
+    std::unique_ptr<rt::HttpServer> store_server;
     std::vector<std::unique_ptr<rt::Listener>> links;  // from each other controller to this one
     Time frozen_until{}, links_cut_until{}, starts_at{};
     std::vector<std::string> log;
@@ -117,36 +121,37 @@
   struct User {
     std::vector<std::size_t> at;  // asks these in turn; empty: any
     std::size_t next = 0;
-    bool cancelling = false;
+    bool is_cancelling = false;
     std::vector<std::size_t> cancels_at;
   };
-  bool pass();  // all loops once; false where none had anything to do
+  bool poll_loops();  // all loops once; false where none had anything to do
   [[nodiscard]] config::Settings settings_of(std::size_t c) const;
   rt::Task<void> accept_links(std::size_t from, std::size_t to, rt::Listener& listener);
-  rt::Task<void> carry(rt::Socket from, std::size_t a, std::size_t b);
-  rt::Task<void> pump(std::shared_ptr<rt::Socket> from, std::shared_ptr<rt::Socket> to, std::size_t a, std::size_t b);
+  rt::Task<void> forward_connection(rt::Socket from, std::size_t a, std::size_t b);
+  rt::Task<void> forward_bytes(std::shared_ptr<rt::Socket> from, std::shared_ptr<rt::Socket> to, std::size_t a,
+                               std::size_t b);
   [[nodiscard]] bool linked(std::size_t a, std::size_t b) const;
-  struct Asked {
+  struct PeerAnswer {
     std::optional<wire::PeerReply> reply;
     bool over = false;
   };
-  rt::Task<void> ask_peer(std::size_t at, wire::ConfigurationRequest request, std::shared_ptr<Asked> asked);
+  rt::Task<void> ask_peer(std::size_t at, wire::ConfigurationRequest request, std::shared_ptr<PeerAnswer> asked);
   rt::Task<void> ticks();
   rt::Task<void> user(JobId id);
   rt::Task<void> poll(JobId id, std::size_t at);
-  rt::Task<void> repeat(JobId id, std::size_t at);
-  rt::Task<void> look(JobId id);
+  rt::Task<void> resubmit(JobId id, std::size_t at);
+  rt::Task<void> ask_repeatedly(JobId id);
   rt::Task<void> cancel_once(JobId id, std::size_t at);
-  rt::Task<void> pass_kept(std::string body, std::size_t at);
+  rt::Task<void> deliver_retained(std::string body, std::size_t at);
   void watch_leader();
-  void watch_waiting();
-  [[nodiscard]] bool could_begin(const Work& work) const;
-  rt::Task<void> cancelling(JobId id);
+  void check_waiting_jobs();
+  [[nodiscard]] bool could_start(const SubmittedJob& work) const;
+  rt::Task<void> cancel_until_answered(JobId id);
   rt::Task<rt::HttpResult> ask(std::size_t controller, std::string method, std::string target, std::string body,
                                double limit_s);
   [[nodiscard]] std::size_t next_for(User& u, const std::vector<std::size_t>& at);
   rt::Task<rt::HttpResponse> cloud(rt::HttpMessage request);
-  rt::HttpResponse hire(const nlohmann::json& wanted);
+  rt::HttpResponse scale_out(const nlohmann::json& wanted);
   Worker& add_worker(const std::string& zone, bool spot, double boots_in);
 
   Time now_{seconds(5000)};
@@ -161,7 +166,7 @@
   std::vector<Controller> controllers_;
   std::vector<std::unique_ptr<Worker>> workers_;
   std::map<JobId, User> users_;
-  std::map<std::string, nlohmann::json> hired_;
+  std::map<std::string, nlohmann::json> scale_out_responses_;
   std::size_t released_busy_ = 0, looks_ = 0;
   std::string last_leader_;  // the value of its key
   std::size_t next_machine_ = 100, next_job_ = 0;
--- a/tests/region/store.cpp
+++ b/tests/region/store.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view row_path = "/store/";
 
 rt::HttpResponse to_http(stand_ins::StoreReply reply) { return {reply.status, std::move(reply.body), {}, false}; }
-rt::HttpResponse trouble_reply() { return {503, R"({"error":"trouble"})", {}, false}; }
+rt::HttpResponse unavailable_reply() { return {503, R"({"error":"trouble"})", {}, false}; }
 
 }  // namespace
 
@@ -30,12 +30,12 @@
 rt::Task<rt::HttpResponse> Store::handle(std::size_t from, rt::HttpMessage request) {
   tick();
   if (request.target.starts_with(row_path)) ++reads_[request.target.substr(row_path.size())];
-  if (refuses(from)) co_return trouble_reply();
+  if (refuses(from)) co_return unavailable_reply();
   const auto& faults = faults_[from];
   if (loop_.now() < faults.slower_until) co_await loop_.sleep(faults.slower);
   if (request.target.starts_with("/leases")) co_await loop_.sleep(faults.leases_slower);
   tick();
-  if (refuses(from)) co_return trouble_reply();
+  if (refuses(from)) co_return unavailable_reply();
   if (request.target == "/multi") {
     json txn = json::parse(request.body);
     co_return co_await multi(from, std::move(txn));
@@ -78,7 +78,7 @@
     carry_out(txn, true);
   }
   co_await loop_.sleep(unanswered);
-  co_return trouble_reply();
+  co_return unavailable_reply();
 }
 
 rt::Task<rt::HttpResponse> Store::watch(std::size_t from, std::string target) {
@@ -88,7 +88,7 @@
     tick();
     auto told = refuses(from) ? std::nullopt : model_.look(watch, loop_.now() >= until);
     if (told) co_return to_http(std::move(*told));
-    if (loop_.now() > until + unanswered) co_return trouble_reply();
+    if (loop_.now() > until + unanswered) co_return unavailable_reply();
     co_await loop_.sleep(watch_look);
   }
 }
--- a/tests/region/store.hpp
+++ b/tests/region/store.hpp
@@ -26,6 +26,7 @@
   Time slower_until{};
 };
 
+// The key-value store over HTTP, with injectable faults per controller.
 class Store {
  public:
   Store(rt::Loop& loop, std::uint64_t seed) : loop_(loop), random_(seed) {}
--- a/tests/region/users.cpp
+++ b/tests/region/users.cpp
@@ -1,5 +1,5 @@
-#include "region.hpp"
 #include "addresses.hpp"
+#include "region.hpp"
 #include "wire/user_codec.hpp"
 
 namespace martenwall::region {
@@ -34,9 +34,9 @@
 void Region::cancel(const JobId& id, std::vector<std::size_t> at) {
   auto& u = users_.at(id);
   u.cancels_at = std::move(at);
-  if (std::exchange(u.cancelling, true)) return;
-  rules_.works().at(id).cancel_asked = now_;
-  rt::spawn(cancelling(id));
+  if (std::exchange(u.is_cancelling, true)) return;
+  rules_.jobs().at(id).cancel_asked = now_;
+  rt::spawn(cancel_until_answered(id));
 }
 
 std::size_t Region::next_for(User& u, const std::vector<std::size_t>& at) {
@@ -55,18 +55,18 @@
 
 rt::Task<void> Region::user(JobId id) {
   co_await loop_.sleep(look_every);  // until it is said whom it asks
-  auto& work = rules_.works().at(id);
+  auto& work = rules_.jobs().at(id);
   const std::string body = wire::encode_job(work.spec).dump();
-  const Time give_up = now_ + seconds(60);
-  while (!work.accepted && now_ < give_up) {
-    const Ordinal sent = rules_.sends();
+  const Time deadline = now_ + seconds(60);
+  while (!work.accepted && now_ < deadline) {
+    const Ordinal sent = rules_.on_request_sent();
     auto& u = users_.at(id);
     const auto to = next_for(u, u.at);
     std::string copy = body;
     const auto r = co_await ask(to, "POST", "/api/jobs", std::move(copy), 5);
     const bool taken = r.outcome == rt::Outcome::answered && (r.status == 200 || r.status == 201);
-    if (taken) rules_.told(id, json::parse(r.body).at("phase"), sent, now_);
-    if (r.status == 400 || r.status == 422) rules_.refused_forever(id, r.status, sent, now_);
+    if (taken) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, now_);
+    if (r.status == 400 || r.status == 422) rules_.on_permanent_refusal(id, r.status, sent, now_);
     if (!taken) co_await loop_.sleep(seconds(1 + roll()));
   }
   while (!work.reported_done && !work.reported_cancelled) {
@@ -82,52 +82,52 @@
 }
 
 rt::Task<void> Region::poll(JobId id, std::size_t at) {
-  const Ordinal sent = rules_.sends();
+  const Ordinal sent = rules_.on_request_sent();
   const auto r = co_await ask(at, "GET", "/api/jobs/" + id.value(), "", 2);
   if (r.outcome != rt::Outcome::answered) co_return;
-  if (r.status == 200) rules_.told(id, json::parse(r.body).at("phase"), sent, now_);
-  if (r.status == 404) rules_.refused_forever(id, r.status, sent, now_);
+  if (r.status == 200) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, now_);
+  if (r.status == 404) rules_.on_permanent_refusal(id, r.status, sent, now_);
 }
 
-rt::Task<void> Region::repeat(JobId id, std::size_t at) {
-  std::string body = wire::encode_job(rules_.work(id).spec).dump();
-  const Ordinal sent = rules_.sends();
+rt::Task<void> Region::resubmit(JobId id, std::size_t at) {
+  std::string body = wire::encode_job(rules_.job(id).spec).dump();
+  const Ordinal sent = rules_.on_request_sent();
   const auto r = co_await ask(at, "POST", "/api/jobs", std::move(body), 5);
   if (r.outcome != rt::Outcome::answered) co_return;
-  if (r.status == 200 || r.status == 201) rules_.told(id, json::parse(r.body).at("phase"), sent, now_);
-  if (r.status == 400 || r.status == 422) rules_.refused_forever(id, r.status, sent, now_);
+  if (r.status == 200 || r.status == 201) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, now_);
+  if (r.status == 400 || r.status == 422) rules_.on_permanent_refusal(id, r.status, sent, now_);
 }
 
 rt::Task<void> Region::cancel_once(JobId id, std::size_t at) {
-  const Ordinal sent = rules_.sends();
+  const Ordinal sent = rules_.on_request_sent();
   const auto r = co_await ask(at, "POST", "/api/jobs/" + id.value() + "/cancel", "", 5);
   if (r.outcome != rt::Outcome::answered) co_return;
-  if (r.status == 200) rules_.told(id, json::parse(r.body).at("phase"), sent, now_);
-  if (r.status == 404) rules_.refused_forever(id, r.status, sent, now_);
+  if (r.status == 200) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, now_);
+  if (r.status == 404) rules_.on_permanent_refusal(id, r.status, sent, now_);
 }
 
-rt::Task<void> Region::cancelling(JobId id) {
-  auto& work = rules_.works().at(id);
+rt::Task<void> Region::cancel_until_answered(JobId id) {
+  auto& work = rules_.jobs().at(id);
   while (!work.reported_done && !work.reported_cancelled) {
-    const Ordinal sent = rules_.sends();
+    const Ordinal sent = rules_.on_request_sent();
     auto& u = users_.at(id);
     const auto to = next_for(u, u.cancels_at);
     const auto r = co_await ask(to, "POST", "/api/jobs/" + id.value() + "/cancel", "", 5);
     const bool answered = r.outcome == rt::Outcome::answered && r.status == 200;
-    if (answered) rules_.told(id, json::parse(r.body).at("phase"), sent, now_);
+    if (answered) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, now_);
     if (!answered) co_await loop_.sleep(seconds(0.5 + 0.5 * roll()));
   }
 }
 
-rt::Task<void> Region::look(JobId id) {
+rt::Task<void> Region::ask_repeatedly(JobId id) {
   constexpr int times = 6;
   for (int i = 0; i < times; ++i) {
-    const auto& work = rules_.work(id);
+    const auto& work = rules_.job(id);
     for (std::size_t c = 0; c < controllers_.size(); ++c) {
       if (!controllers_.at(c).process) continue;
       ++looks_;
       rt::spawn(poll(id, c));
-      if (i % 2 == 0) rt::spawn(repeat(id, c));
+      if (i % 2 == 0) rt::spawn(resubmit(id, c));
       if (i % 3 == 0 && (work.reported_done || work.reported_cancelled)) rt::spawn(cancel_once(id, c));
     }
     co_await loop_.sleep(seconds(0.003 + 0.06 * roll() * i));
@@ -136,8 +136,8 @@
 
 void Region::look_closely(double cancels) {
   rules_.on_news = [this, cancels](const JobId& id) {
-    rt::spawn(look(id));
-    const auto& work = rules_.work(id);
+    rt::spawn(ask_repeatedly(id));
+    const auto& work = rules_.job(id);
     const bool fresh = !work.reported_done && !work.reported_cancelled;
     if (fresh && cancels > 0 && roll() < cancels) cancel(id, {pick(), pick()});
   };
--- a/tests/region/worker.cpp
+++ b/tests/region/worker.cpp
@@ -22,23 +22,24 @@
       server_(environment.loop, *rt::Endpoint::parse("127.0.0.1:0"), {},
               [this](rt::HttpMessage m) { return serve(std::move(m)); }) {
   model_.set_endpoint("127.0.0.1:" + std::to_string(server_.port()));
-  route_.next_report = boots;
+  route_.next_heartbeat = boots;
   route_.target = static_cast<std::size_t>(environment_.roll() * static_cast<double>(environment_.controllers.size()));
 }
 
 std::string Worker::address() const {
-  const bool cut = environment_.loop.now() < std::max(cut_until_, silent_until_) || (kept() && route_.target != kept_);
+  const bool cut =
+      environment_.loop.now() < std::max(cut_until_, silent_until_) || (is_confined() && route_.target != confined_to_);
   return cut ? "" : environment_.address(route_.target).value_or("");
 }
 
 void Worker::run() {
   rt::spawn(server_.serve());
-  rt::spawn(report_loop());
+  rt::spawn(heartbeat_loop());
 }
 
-bool Worker::sound() const {
+bool Worker::is_healthy() const {
   const Time now = environment_.loop.now();
-  return up() && now >= std::max({downlink_lost_until_, hangs_until_, cut_until_, kept_until_, silent_until_});
+  return up() && now >= std::max({downlink_lost_until_, hangs_until_, cut_until_, confined_until_, silent_until_});
 }
 
 rt::Task<void> Worker::send_late(std::string body) {
@@ -51,26 +52,26 @@
   if (r.ok()) ++environment_.late_copies;
 }
 
-rt::Task<void> Worker::report_loop() {
+rt::Task<void> Worker::heartbeat_loop() {
   while (!gone()) {
     const Time now = environment_.loop.now();
-    const bool due = now >= route_.next_report || (model_.changed() && now >= last_report_ + least_gap);
+    const bool due = now >= route_.next_heartbeat || (model_.changed() && now >= last_heartbeat_at_ + least_gap);
     if (!up() || hangs() || !due) {
       co_await environment_.loop.sleep(look_every);
       continue;
     }
     model_.reported();
-    last_report_ = now;
-    route_.next_report =
+    last_heartbeat_at_ = now;
+    route_.next_heartbeat =
         now + seconds(environment_.world.terms.heartbeat_interval_s * (0.75 + 0.5 * environment_.roll()));
     const auto incarnation = model_.incarnation();
     std::string body = model_.report();
-    if (environment_.roll() < environment_.late_reports) {
+    if (environment_.roll() < environment_.late_heartbeats) {
       std::string copy = body;
       rt::spawn(send_late(std::move(copy)));
     }
-    if (environment_.kept_reports > 0 && environment_.roll() < environment_.kept_reports)
-      environment_.kept.push_back(body);
+    if (environment_.retained_heartbeats > 0 && environment_.roll() < environment_.retained_heartbeats)
+      environment_.retained.push_back(body);
     std::string to = address();
     rt::HttpResult result;
     if (!to.empty()) {
@@ -97,7 +98,7 @@
 
 rt::Task<rt::HttpResponse> Worker::serve(rt::HttpMessage request) {
   const Time came = environment_.loop.now();
-  const bool lost = !up() || came < downlink_lost_until_ || came < cut_until_ || kept();
+  const bool lost = !up() || came < downlink_lost_until_ || came < cut_until_ || is_confined();
   if (lost) {
     co_await environment_.loop.sleep(answer_limit);
     co_return rt::HttpResponse{503, "{}", {}, true};
--- a/tests/simulation/controllers.cpp
+++ b/tests/simulation/controllers.cpp
@@ -13,9 +13,9 @@
   options.policy = policy_;
   options.terms = terms_;
   options.teams = teams_;
-  options.token = *lead_;
+  options.token = *leader_token_;
   options.old_leader_until = now_ + n.leadership->grace() + policy_.margin;
-  options.range_rows = gate_;
+  options.range_rows = range_rows_allowed_;
   options.v1_row_size = 7;
   options.range_size = 5;
   n.row_limit = 1000;
@@ -41,7 +41,7 @@
 }
 
 // What the store says of awaited jobs comes a moment later.
-void World::look_up(Node& n) {
+void World::run_lookups(Node& n) {
   for (const auto& id : n.scheduler->take_lookups()) {
     at(now_ + seconds(between(wire_low, 0.5)), [this, &n, life = n.life, id] {
       if (n.life != life || n.scheduler == nullptr) return;
@@ -54,12 +54,12 @@
   }
 }
 
-void World::take_lead(Node& n) {
-  ++takeovers_;
-  lead_ = FencingToken{++revision_};
-  lead_until_ = now_ + policy_.lease_ttl;
+void World::become_leader(Node& n) {
+  ++failovers_;
+  leader_token_ = FencingToken{++revision_};
+  leader_lease_until_ = now_ + policy_.lease_ttl;
   n.leadership = std::make_unique<Leadership>(policy_, terms_);
-  n.leadership->acquired(*lead_, now_);
+  n.leadership->acquired(*leader_token_, now_);
   ++n.life;
   n.flushing = 0;
   n.cancels.clear();
@@ -81,13 +81,13 @@
   if (now_ < n.down_until || now_ < n.frozen_until) return;
   const bool store = now_ >= n.cut_until;
   if (n.scheduler == nullptr) {
-    if (store && !lead_) take_lead(n);
+    if (store && !leader_token_) become_leader(n);
     return;
   }
   if (store && now_ >= n.next_renewal) {
     n.next_renewal = now_ + policy_.renew_every;
-    if (lead_ != n.leadership->token()) return step_down(n);
-    lead_until_ = now_ + policy_.lease_ttl;
+    if (leader_token_ != n.leadership->token()) return step_down(n);
+    leader_lease_until_ = now_ + policy_.lease_ttl;
     n.leadership->renewed(now_, now_);
   }
   n.leadership->tick(now_);
@@ -99,8 +99,8 @@
     n.next_round = now_ + policy_.cycle_interval;
     n.scheduler->run_cycle(now_);
   }
-  if (gate_) n.scheduler->use_range_rows(now_);
-  look_up(n);
+  if (range_rows_allowed_) n.scheduler->use_range_rows(now_);
+  run_lookups(n);
   if (n.flushing < 3 && n.scheduler->has_writes(true, now_)) flush(n);
   for (auto& batch : n.scheduler->take_command_batches(now_)) send_direct(n, std::move(batch));
   scale_out(n);
@@ -109,9 +109,9 @@
 
 void World::scale_out(Node& n) {
   for (const auto& request : n.scheduler->take_scale_out_requests()) {
-    note(Given::hire, request.name + " " + std::to_string(request.count) + " " + request.type + " " + request.zone +
-                          " " + std::to_string(static_cast<int>(request.spot)));
-    if (!hire_names_.insert(request.name).second) breach("hire name reused: " + request.name);
+    record_decision(Decision::scale_out, request.name + " " + std::to_string(request.count) + " " + request.type + " " +
+                                             request.zone + " " + std::to_string(static_cast<int>(request.spot)));
+    if (!scale_out_names_.insert(request.name).second) report_violation("hire name reused: " + request.name);
     std::vector<MachineId> ids;
     if (workers_.size() < most_machines) {
       for (std::uint32_t i = 0; i < request.count && workers_.size() < most_machines; ++i) {
@@ -127,18 +127,18 @@
 void World::scale_in(Node& n) {
   const auto releases = n.scheduler->take_scale_in(now_);
   for (const auto& id : releases) {
-    note(Given::release, id.value());
+    record_decision(Decision::scale_in, id.value());
     workers_.erase(id);
   }
   if (!releases.empty()) n.scheduler->on_machines_released(releases, now_);
 }
 
 // Rows that the node knows to be too large are divided and not sent.
-std::vector<RowWrite> World::take_fitting(Node& n) {
+std::vector<RowWrite> World::take_writes_within_limits(Node& n) {
   auto rows = n.scheduler->take_writes(n.rows_at_once, true, now_);
   std::erase_if(rows, [&](const RowWrite& row) {
     if (size_of(row) <= n.row_limit) return false;
-    ++divided_;
+    ++row_splits_;
     n.scheduler->split_row(row, now_);
     return true;
   });
@@ -147,16 +147,16 @@
 
 void World::flush(Node& n) {
   ++n.flushing;
-  const auto rows = take_fitting(n);
+  const auto rows = take_writes_within_limits(n);
   for (const auto& row : rows) {
-    note(row);
+    record_decision(row);
   }
   // Held by a cut, a transaction is applied late; its conditions decide then.
   const Time arrives = std::max(now_, n.cut_until) + seconds(between(wire_low, 0.3));
   at(arrives, [this, &n, life = n.life, token = n.leadership->token(), rows] { apply(n, life, token, rows); });
 }
 
-void World::take_answer(Node& n, const std::vector<RowWrite>& rows) {
+void World::on_rows_committed(Node& n, const std::vector<RowWrite>& rows) {
   n.scheduler->on_rows_stored(rows, now_);
   std::erase_if(n.cancels, [&](const auto& id) {
     const auto& s = stored_jobs_.at(id);
@@ -167,12 +167,12 @@
 }
 
 void World::send_direct(Node& n, CommandBatch batch) {
-  note(Given::command, batch.machine, batch.commands);
-  const bool held = faulty_ && roll() < faults_.held_command;
+  record_decision(Decision::command, batch.machine, batch.commands);
+  const bool held = faulty_ && roll() < faults_.delayed_command;
   const Time arrives = now_ + seconds(held ? between(3, 150) : between(wire_low, wire_high));
   const auto token = n.leadership->token();
   const auto life = n.life;
-  const bool answer_lost = faulty_ && roll() < faults_.lost_answer;
+  const bool answer_lost = faulty_ && roll() < faults_.lost_response;
   at(arrives, [this, &n, life, token, batch, held, answer_lost] {
     Heartbeat report;
     const auto outcome = deliver_direct(token, batch, report);
--- a/tests/simulation/decisions.cpp
+++ b/tests/simulation/decisions.cpp
@@ -28,18 +28,20 @@
 }
 }  // namespace
 
-void World::note(Given what, const std::string& said) const {
-  if (!decided) return;
-  decided(std::to_string(now_.time_since_epoch().count()) + " " + std::to_string(static_cast<int>(what)) + " " + said);
+void World::record_decision(Decision what, const std::string& said) const {
+  if (!on_decision) return;
+  on_decision(std::to_string(now_.time_since_epoch().count()) + " " + std::to_string(static_cast<int>(what)) + " " +
+              said);
 }
 
-void World::note(const RowWrite& row) const {
-  note(Given::row, std::to_string(static_cast<int>(row.key.kind)) + " " + row.key.id + " " +
-                       std::to_string(row.key.part) + " " + std::to_string(size_of(row)) + content_of(row));
+void World::record_decision(const RowWrite& row) const {
+  record_decision(Decision::row, std::to_string(static_cast<int>(row.key.kind)) + " " + row.key.id + " " +
+                                     std::to_string(row.key.part) + " " + std::to_string(size_of(row)) +
+                                     content_of(row));
 }
 
-void World::note(Given what, const MachineId& to, const std::vector<Command>& commands) const {
-  if (!decided) return;
+void World::record_decision(Decision what, const MachineId& to, const std::vector<Command>& commands) const {
+  if (!on_decision) return;
   std::string out = to.value();
   for (const auto& command : commands) {
     out.append(" ").append(std::to_string(static_cast<int>(command.verb)));
@@ -48,7 +50,7 @@
     out.append("#").append(std::to_string(command.attempt.value()));
     out.append("~").append(std::to_string(command.grace_s));
   }
-  note(what, out);
+  record_decision(what, out);
 }
 
 }  // namespace martenwall::sim
--- a/tests/simulation/faults.cpp
+++ b/tests/simulation/faults.cpp
@@ -5,16 +5,16 @@
 
 namespace martenwall::sim {
 
-void World::inject() {
+void World::inject_faults() {
   const double s = to_seconds(step_length);
-  if (!gate_ && roll() < faults_.gate * s) {
-    gate_ = std::ranges::any_of(nodes_, [&](const Node& n) {
-      return n.scheduler != nullptr && n.leadership->has_valid_lease(now_) && lead_ == n.leadership->token();
+  if (!range_rows_allowed_ && roll() < faults_.range_rows_switch * s) {
+    range_rows_allowed_ = std::ranges::any_of(nodes_, [&](const Node& n) {
+      return n.scheduler != nullptr && n.leadership->has_valid_lease(now_) && leader_token_ == n.leadership->token();
     });
-    if (gate_) gate_token_ = lead_;
+    if (range_rows_allowed_) range_rows_token_ = leader_token_;
   }
   // The store lowers its limits only after all nodes run the new version.
-  if (gate_ && roll() < faults_.limit_fall * s) {
+  if (range_rows_allowed_ && roll() < faults_.store_limit_drop * s) {
     row_limit_ = std::min<std::size_t>(row_limit_, 2 + random_() % 3);
     rows_at_once_ = 3;
   }
@@ -25,15 +25,16 @@
       ++n.life;
       n.flushing = 0;
       n.cancels.clear();
-      const bool quick = faults_.quick_return > 0 && roll() < faults_.quick_return;
-      n.down_until = now_ + seconds(quick ? between(0, 0.5) : 8);
+      const bool restarts_quickly = faults_.quick_restart > 0 && roll() < faults_.quick_restart;
+      n.down_until = now_ + seconds(restarts_quickly ? between(0, 0.5) : 8);
     }
     if (roll() < faults_.node_freeze * s) freeze(n);
-    if (roll() < faults_.state_cut * s) n.cut_until = now_ + seconds(between(2, 60));
+    if (roll() < faults_.store_cut * s) n.cut_until = now_ + seconds(between(2, 60));
   }
   if (faults_.relays && roll() < faults_.link_cut * s) link_cut_until_ = now_ + seconds(between(1, 40));
   for (auto& [id, w] : workers_) {
-    if (faults_.deaf > 0 && roll() < faults_.deaf * s) w.downlink_lost_until = now_ + seconds(between(3, 120));
+    if (faults_.downlink_loss > 0 && roll() < faults_.downlink_loss * s)
+      w.downlink_lost_until = now_ + seconds(between(3, 120));
     if (roll() < faults_.worker_cut * s) w.cut_until = now_ + seconds(between(2, 60));
     if (roll() < faults_.machine_death * s) {
       w.alive = false;
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -4,12 +4,12 @@
 
 namespace martenwall::sim {
 
-void World::breach(const std::string& what) {
-  if (breaches_.size() < 5) breaches_.push_back(std::to_string(to_seconds(now_.time_since_epoch())) + " " + what);
+void World::report_violation(const std::string& what) {
+  if (violations_.size() < 5) violations_.push_back(std::to_string(to_seconds(now_.time_since_epoch())) + " " + what);
 }
 
 // Is any job cancelled that this one needs, directly or through others?
-bool World::needs_cancelled(const JobId& id, const std::function<bool(const JobId&)>& cancelled) const {
+bool World::depends_on_cancelled(const JobId& id, const std::function<bool(const JobId&)>& cancelled) const {
   std::vector<JobId> left = spec_of(id).dependencies;
   while (!left.empty()) {
     const JobId next = left.back();
@@ -21,7 +21,7 @@
   return false;
 }
 
-void World::check() {
+void World::check_rules() {
   check_machines();
   check_cancelled_dependencies();
 }
@@ -37,11 +37,11 @@
       used[spec.team] += spec.need.gpus;
       const auto c = reported_cancelled_.find(key.first.job);
       if (c != reported_cancelled_.end() && now_ - c->second > seconds(terms_.cancel_s))
-        breach("ran_cancelled " + to_string(key.first));
+        report_violation("ran_cancelled " + to_string(key.first));
     }
   }
   for (const auto& t : teams_) {
-    if (used[t.name] > t.limit.gpus + 1e-9) breach("quota " + t.name);
+    if (used[t.name] > t.limit.gpus + 1e-9) report_violation("quota " + t.name);
   }
 }
 
@@ -57,8 +57,8 @@
     for (const auto& [id, job] : n.scheduler->jobs()) {
       const auto status = n.scheduler->status(id);
       if (status && !is_final(status->phase) && now_ - job.submitted > bound &&
-          needs_cancelled(id, cancelled_long_ago)) {
-        breach("orphaned " + id.value());
+          depends_on_cancelled(id, cancelled_long_ago)) {
+        report_violation("orphaned " + id.value());
       }
     }
   }
--- a/tests/simulation/store.cpp
+++ b/tests/simulation/store.cpp
@@ -8,7 +8,7 @@
   const JobId id{row.key.id};
   if (row.final_job) {
     auto& s = stored_jobs_.at(id);
-    if (s.final) breach("a final job was written again: " + row.key.id);
+    if (s.final) report_violation("a final job was written again: " + row.key.id);
     s.final = true;
     s.job.phase = row.final_job->phase;
     const auto stored_cancelled = [&](const JobId& j) {
@@ -17,13 +17,16 @@
     };
     if (s.job.phase == JobPhase::cancelled && !cancel_asked_.contains(id)) {
       ++cascaded_;
-      if (!needs_cancelled(id, stored_cancelled)) breach("went_back: cancelled by no one: " + row.key.id);
+      if (!depends_on_cancelled(id, stored_cancelled))
+        report_violation("went_back: cancelled by no one: " + row.key.id);
     }
-    if (s.job.phase == JobPhase::done && completed_[id].size() != s.job.spec.tasks) breach("not_done " + row.key.id);
+    if (s.job.phase == JobPhase::done && completed_[id].size() != s.job.spec.tasks)
+      report_violation("not_done " + row.key.id);
   } else if (row.tasks) {
     // One that was under way when the gate was passed may still arrive, but no later leader writes any.
     const bool by_number = row.key.kind == RowKind::tasks_v1;
-    if (by_number && gate_ && lead_ != gate_token_) breach("a row by number was written: " + row.key.id);
+    if (by_number && range_rows_allowed_ && leader_token_ != range_rows_token_)
+      report_violation("a row by number was written: " + row.key.id);
     stored_tasks_.insert_or_assign(row.key, *row.tasks);
   } else if (!row.machines.empty()) {
     stored_machines_.insert_or_assign(row.key.part, row.machines);
@@ -38,7 +41,7 @@
   // What is too large is refused whatever the conditions are.
   const bool too_large =
       rows.size() > rows_at_once_ || std::ranges::any_of(rows, [&](const auto& r) { return size_of(r) > row_limit_; });
-  const bool ours = lead_ == token;
+  const bool ours = leader_token_ == token;
   if (too_large) ++refused_;
   if (ours && !too_large) {
     ++revision_;
@@ -55,7 +58,7 @@
       n.scheduler->set_row_sizes(3, 25);
       return n.scheduler->requeue_writes(rows, seconds(0.05), now_);
     }
-    take_answer(n, rows);
+    on_rows_committed(n, rows);
   });
 }
 
--- a/tests/simulation/tasks.cpp
+++ b/tests/simulation/tasks.cpp
@@ -4,20 +4,20 @@
 
 namespace martenwall::sim {
 
-void World::start_on(Worker& w, const TaskKey& key, WorkTask& t) {
+void World::check_start(Worker& w, const TaskKey& key, SimulatedTask& t) {
   ++started_;
   const auto& spec = spec_of(key.first.job);
-  if (w.spot && !spec.spot) breach("wrong_place: spot " + to_string(key.first));
+  if (w.spot && !spec.spot) report_violation("wrong_place: spot " + to_string(key.first));
   for (const auto& id : spec.dependencies) {
     const auto& other = stored_jobs_.at(id);
-    if (!other.final || other.job.phase != JobPhase::done) breach("too_early " + to_string(key.first));
+    if (!other.final || other.job.phase != JobPhase::done) report_violation("too_early " + to_string(key.first));
   }
   for (auto& [id, other] : workers_) {
     for (auto& [k, x] : other.tasks) {
       if (&x == &t || !on_machine(x) || k.first.job != key.first.job) continue;
       if (k.first == key.first)
-        breach("ran_twice " + to_string(k.first) + " on " + id.value() + " and " + w.id.value());
-      if (spec.one_zone && other.zone != w.zone) breach("wrong_place: zone " + to_string(key.first));
+        report_violation("ran_twice " + to_string(k.first) + " on " + id.value() + " and " + w.id.value());
+      if (spec.one_zone && other.zone != w.zone) report_violation("wrong_place: zone " + to_string(key.first));
     }
   }
 }
@@ -29,7 +29,7 @@
       t.state = spec.kind == JobKind::gang ? TaskState::waiting : TaskState::running;
       t.since = now_;
       t.until = now_ + seconds(completed_[key.first.job].contains(key.first.index) ? 0 : between(2, 40));
-      start_on(w, key, t);
+      check_start(w, key, t);
     } else if (t.state == TaskState::running && spec.kind == JobKind::array && now_ >= t.until) {
       const bool error = faulty_ && roll() < faults_.task_error;
       t.state = TaskState::ended;
@@ -49,7 +49,7 @@
 }
 
 void World::step_gangs() {
-  std::map<std::pair<JobId, Attempt>, std::vector<std::pair<TaskId, WorkTask*>>> gangs;
+  std::map<std::pair<JobId, Attempt>, std::vector<std::pair<TaskId, SimulatedTask*>>> gangs;
   for (auto& [id, w] : workers_) {
     for (auto& [key, t] : w.tasks) {
       if (spec_of(key.first.job).kind == JobKind::gang) gangs[{key.first.job, key.second}].emplace_back(key.first, &t);
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -4,9 +4,9 @@
 
 namespace martenwall::sim {
 
-std::vector<JobId> World::some_earlier_jobs() {
+std::vector<JobId> World::draw_dependencies() {
   std::vector<JobId> out;
-  if (roll() >= faults_.chained || stored_jobs_.empty()) return out;
+  if (roll() >= faults_.dependent_jobs || stored_jobs_.empty()) return out;
   for (int i = 0; i < 3; ++i) {
     const JobId id{"job-" + std::to_string(job_no_ - 1 - random_() % std::min<std::uint64_t>(job_no_, 6))};
     if (stored_jobs_.contains(id) && std::ranges::find(out, id) == out.end()) out.push_back(id);
@@ -14,7 +14,7 @@
   return out;
 }
 
-void World::users() {
+void World::step_users() {
   Node* leader = nullptr;
   for (auto& n : nodes_) {
     if (n.scheduler != nullptr && n.leadership->has_valid_lease(now_) && now_ >= n.down_until && now_ >= n.frozen_until)
@@ -52,7 +52,7 @@
       faults_.shortage ? 6 : 3;  // beside checkpoints each 10 s the saving costs more than it saves
   s.checkpoint_interval_s = roll() < 0.5 ? 10 : 0;
   if (roll() < 0.5) s.deadline_s = 100;
-  s.dependencies = some_earlier_jobs();
+  s.dependencies = draw_dependencies();
   submitted_.emplace(s.id, s);
   Job job;
   job.spec = s;
@@ -62,7 +62,7 @@
     return stored_jobs_.at(id).final && stored_jobs_.at(id).job.phase == JobPhase::done;
   });
   stored_jobs_[s.id] = {job, false};
-  if (roll() >= faults_.late_note) return leader.scheduler->add_job(job, now_);
+  if (roll() >= faults_.late_notification) return leader.scheduler->add_job(job, now_);
   // Accepted at another node: the leader finds the note later, or its successor loads the row.
   at(now_ + seconds(between(0.1, 20)), [this, &leader, life = leader.life, id = s.id] {
     const auto& stored = stored_jobs_.at(id);
