--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -4,8 +4,8 @@
 
 namespace martenwall::sim {
 
-Heartbeat World::report_of(Worker& w) {
-  w.tick = HeartbeatSequence{w.tick.value() + 1};
+Heartbeat World::make_heartbeat(Worker& w) {
+  w.sequence = HeartbeatSequence{w.sequence.value() + 1};
   Heartbeat r;
   r.machine = w.id;
   r.addr = "10.0.0.1:1";
@@ -13,7 +13,7 @@
   r.zone = w.zone;
   r.spot = w.spot;
   r.incarnation = w.incarnation;
-  r.sequence = w.tick;
+  r.sequence = w.sequence;
   r.token = w.token;
   for (const auto& [key, t] : w.tasks) r.tasks.push_back({key.first, key.second, t.state, t.cause, false});
   return r;
@@ -29,32 +29,33 @@
   if (w.waiting_since && now_ - *w.waiting_since > seconds(4)) {
     w.waiting_since.reset();
     w.target = 1 - w.target;
-    w.next_report = now_ + seconds(1);
+    w.next_heartbeat = now_ + seconds(1);
   }
-  if (!w.waiting_since && now_ >= w.next_report) send_report(w);
+  if (!w.waiting_since && now_ >= w.next_heartbeat) send_heartbeat(w);
   step_tasks(w);
 }
 
-void World::send_report(Worker& w) {
+void World::send_heartbeat(Worker& w) {
   w.waiting_since = now_;
-  w.next_report = now_ + seconds(between(0.75, 1.25) * terms_.heartbeat_interval_s);
-  const auto no = ++w.report_no;
-  const auto report = report_of(w);
-  const bool held = faulty_ && roll() < faults_.held_report;
+  w.next_heartbeat = now_ + seconds(between(0.75, 1.25) * terms_.heartbeat_interval_s);
+  const auto no = ++w.heartbeat_no;
+  const auto report = make_heartbeat(w);
+  const bool held = faulty_ && roll() < faults_.delayed_heartbeat;
   if (now_ < w.cut_until && !held) return;
   const Time arrives = std::max(now_, w.cut_until) + seconds(held ? between(1, 90) : between(wire_low, wire_high));
-  at(arrives, [this, target = w.target, report, no] { receive_report(target, report, no); });
-  if (!faulty_ || faults_.late_copy <= 0 || roll() >= faults_.late_copy) return;
+  at(arrives, [this, target = w.target, report, no] { receive_heartbeat(target, report, no); });
+  if (!faulty_ || faults_.late_duplicate <= 0 || roll() >= faults_.late_duplicate) return;
   const auto other = random_() % nodes_.size();
-  at(now_ + seconds(between(1, 3 * terms_.lease_s)), [this, other, report, no] { receive_report(other, report, no); });
+  at(now_ + seconds(between(1, 3 * terms_.lease_s)),
+     [this, other, report, no] { receive_heartbeat(other, report, no); });
 }
 
-void World::receive_answer(const MachineId& id, std::uint64_t no, Incarnation incarnation, bool ok, FencingToken token,
-                           const std::vector<Command>& commands) {
+void World::receive_response(const MachineId& id, std::uint64_t no, Incarnation incarnation, bool ok,
+                             FencingToken token, const std::vector<Command>& commands) {
   const auto it = workers_.find(id);
   if (it == workers_.end()) return;
   Worker& w = it->second;
-  if (!w.alive || !w.waiting_since || no != w.report_no || incarnation != w.incarnation || now_ < w.cut_until ||
+  if (!w.alive || !w.waiting_since || no != w.heartbeat_no || incarnation != w.incarnation || now_ < w.cut_until ||
       now_ < w.downlink_lost_until) {
     return;
   }
@@ -62,11 +63,11 @@
   w.waiting_since.reset();
   if (!ok) {
     w.target = 1 - w.target;
-    w.next_report = std::min(w.next_report, now_ + seconds(1));
+    w.next_heartbeat = std::min(w.next_heartbeat, now_ + seconds(1));
     return;
   }
   if (token < w.token) return;
-  if (token > w.token) w.next_report = std::min(w.next_report, now_ + seconds(0.5));
+  if (token > w.token) w.next_heartbeat = std::min(w.next_heartbeat, now_ + seconds(0.5));
   w.token = token;
   w.lease_renewed_at = sent;
   execute(w, commands);
@@ -82,7 +83,7 @@
   const bool needs_cycle = token < w.token || batch.incarnation != w.incarnation;
   w.token = std::max(w.token, token);
   if (!needs_cycle) execute(w, batch.commands);
-  report = report_of(w);
+  report = make_heartbeat(w);
   return needs_cycle ? CommandOutcome::refused : CommandOutcome::executed;
 }
 
@@ -101,7 +102,7 @@
   }
 }
 
-void World::execute_stop(WorkTask& t, double grace_s) {
+void World::execute_stop(SimulatedTask& t, double grace_s) {
   if (t.state == TaskState::running && grace_s >= 3) {
     t.state = TaskState::saving;
     t.until = now_ + seconds(3);
@@ -117,8 +118,8 @@
   const bool busy = std::ranges::any_of(
       w.tasks, [&](const auto& t) { return t.first.first == task && t.second.state != TaskState::ended; });
   const auto [other, fresh] = attempts_.emplace(key, w.id);
-  if (!fresh && other->second != w.id) breach("attempt reused: " + to_string(task));
-  WorkTask t;
+  if (!fresh && other->second != w.id) report_violation("attempt reused: " + to_string(task));
+  SimulatedTask t;
   t.until = now_ + seconds(between(0, 6));
   t.since = now_;
   double gpus = spec_of(task.job).need.gpus;
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -14,7 +14,7 @@
   }
   teams_ = {{"red", {0, 16, 0}, {0, 40, 0}}, {"blue", {0, 8, 0}, {0, 24, 0}}};
   types_ = {{"big", {48, 4, 288}, 80, 0.6, 10, 3, 20, {"a", "b"}}};
-  gate_ = faults_.gate_from_start;
+  range_rows_allowed_ = faults_.range_rows_from_start;
   nodes_.resize(2);
   for (auto& n : nodes_) n.leadership = std::make_unique<Leadership>(policy_, terms_);
   for (int i = 0; i < 4; ++i) {
@@ -27,7 +27,7 @@
   w.id = MachineId{"i-" + std::to_string(100000 + machine_no_++)};
   w.zone = zone;
   w.spot = spot;
-  w.boots = w.next_report = w.lease_renewed_at = now_ + boots_in;
+  w.boots = w.next_heartbeat = w.lease_renewed_at = now_ + boots_in;
   workers_.emplace(w.id, w);
   return w.id;
 }
@@ -36,7 +36,7 @@
 
 void World::run(double long_s) {
   const Time until = now_ + seconds(long_s);
-  while (now_ < until && breaches_.empty()) step();
+  while (now_ < until && violations_.empty()) step();
 }
 
 void World::step() {
@@ -46,15 +46,15 @@
     events_.erase(events_.begin());
     what();
   }
-  if (lead_ && now_ > lead_until_) lead_.reset();
-  if (faulty_) inject();
-  users();
+  if (leader_token_ && now_ > leader_lease_until_) leader_token_.reset();
+  if (faulty_) inject_faults();
+  step_users();
   for (auto& n : nodes_) step_node(n);
   for (auto& [id, w] : workers_) {
     if (w.alive && now_ >= w.boots) step_worker(w);
   }
   step_gangs();
-  check();
+  check_rules();
 }
 
 std::size_t World::unfinished() const {
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -18,8 +18,8 @@
   world.stop_faults();
   world.run(quiet_s);
   // A chain of jobs takes as long as all of them one after another: seed 976 needs 1,100 s. What never ends is found.
-  for (int more = 0; more < 30 && world.unfinished() > 0 && world.breaches().empty(); ++more) world.run(100);
-  if (!world.breaches().empty()) RC_FAIL(joined(world.breaches()));
+  for (int more = 0; more < 30 && world.unfinished() > 0 && world.violations().empty(); ++more) world.run(100);
+  if (!world.violations().empty()) RC_FAIL(joined(world.violations()));
   RC_ASSERT(world.started() + world.cascaded() > 0U);
   // Whatever happened, all accepted work comes to its end once the faults are over.
   RC_ASSERT(world.unfinished() == 0U);
@@ -30,8 +30,8 @@
 // Commands held for minutes are the hazard of direct starts.
 RC_GTEST_PROP(simulation, keeps_every_rule_with_late_commands, (std::uint64_t seed)) {
   sim::Faults f;
-  f.held_command = 0.5;
-  f.held_report = 0.1;
+  f.delayed_command = 0.5;
+  f.delayed_heartbeat = 0.1;
   f.worker_cut = 0.03;
   play(seed, f, 900);
 }
@@ -39,7 +39,7 @@
 RC_GTEST_PROP(simulation, keeps_every_rule_through_failovers, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_crash = 0.02;
-  f.state_cut = 0.04;
+  f.store_cut = 0.04;
   play(seed, f, 900);
 }
 
@@ -47,7 +47,7 @@
 RC_GTEST_PROP(simulation, keeps_every_rule_through_freezes, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_freeze = 0.04;
-  f.held_command = 0.3;
+  f.delayed_command = 0.3;
   play(seed, f, 900);
 }
 
@@ -57,8 +57,8 @@
   f.relays = true;
   f.node_crash = 0.01;
   f.node_freeze = 0.02;
-  f.state_cut = 0.02;
-  f.held_command = 0.3;
+  f.store_cut = 0.02;
+  f.delayed_command = 0.3;
   play(seed, f, 900);
 }
 
@@ -67,7 +67,7 @@
   f.relays = true;
   f.link_cut = 0.06;
   f.slow_batch = 0.3;
-  f.twice_batch = 0.3;
+  f.repeated_batch = 0.3;
   f.worker_cut = 0.02;
   play(seed, f, 900);
 }
@@ -84,41 +84,41 @@
 RC_GTEST_PROP(simulation, keeps_every_rule_while_rows_are_split, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_crash = 0.03;
-  f.gate = 0.015;
-  f.limit_fall = 0.03;
+  f.range_rows_switch = 0.015;
+  f.store_limit_drop = 0.03;
   play(seed, f, 900);
 }
 
 // Chains of jobs, cancelled here and there.
 RC_GTEST_PROP(simulation, keeps_every_rule_with_dependent_jobs, (std::uint64_t seed)) {
   sim::Faults f;
-  f.chained = 0.9;
-  f.late_note = 0.6;
+  f.dependent_jobs = 0.9;
+  f.late_notification = 0.6;
   f.node_crash = 0.02;
-  f.gate_from_start = true;
+  f.range_rows_from_start = true;
   play(seed, f, 900);
 }
 
 // Machines that are heard and hear nothing, copies of their reports up to three leases late, also at the next leader.
 RC_GTEST_PROP(simulation, keeps_every_rule_with_unreachable_machines_and_late_duplicates, (std::uint64_t seed)) {
   sim::Faults f;
-  f.deaf = 0.02;
-  f.late_copy = 0.3;
+  f.downlink_loss = 0.02;
+  f.late_duplicate = 0.3;
   f.relays = true;
   f.node_crash = 0.01;
-  f.held_command = 0.3;
+  f.delayed_command = 0.3;
   play(seed, f, 900);
 }
 
 // Controllers that are back before anyone missed them, in the middle of elections too.
 RC_GTEST_PROP(simulation, keeps_every_rule_through_quick_restarts, (std::uint64_t seed)) {
   sim::Faults f;
-  f.quick_return = 0.8;
+  f.quick_restart = 0.8;
   f.node_crash = 0.06;
-  f.late_copy = 0.2;
-  f.deaf = 0.005;
-  f.held_command = 0.3;
-  f.state_cut = 0.03;
+  f.late_duplicate = 0.2;
+  f.downlink_loss = 0.005;
+  f.delayed_command = 0.3;
+  f.store_cut = 0.03;
   play(seed, f, 900);
 }
 
@@ -128,7 +128,7 @@
   f.shortage = true;
   f.machine_death = 0.01;
   f.node_crash = 0.02;
-  f.held_command = 0.3;
+  f.delayed_command = 0.3;
   play(seed, f, 900);
 }
 
@@ -147,20 +147,20 @@
 
 TEST(simulation, row_splits_refusals_and_cascades_do_happen) {
   std::size_t refused = 0;
-  std::size_t divided = 0;
+  std::size_t row_splits = 0;
   std::size_t cascaded = 0;
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U, 6U}) {
     sim::Faults f;
-    f.chained = 0.8;
-    f.limit_fall = 0.03;
+    f.dependent_jobs = 0.8;
+    f.store_limit_drop = 0.03;
     sim::World world{seed, f};
     world.run(350);
     refused += world.refused();
-    divided += world.divided();
+    row_splits += world.row_splits();
     cascaded += world.cascaded();
   }
   EXPECT_GT(refused, 0U);
-  EXPECT_GT(divided, 0U);
+  EXPECT_GT(row_splits, 0U);
   EXPECT_GT(cascaded, 0U);
 }
 
@@ -171,7 +171,7 @@
     (freezes ? f.node_freeze : f.node_crash) = freezes ? 0.04 : 0.03;
     sim::World world{7, f};
     world.run(300);
-    EXPECT_GT(world.takeovers(), 3U);
+    EXPECT_GT(world.failovers(), 3U);
     EXPECT_GT(world.started(), 10U);
     EXPECT_TRUE(!freezes || world.freezes() > 5U);
   }
--- a/tests/stand_ins_test.cpp
+++ b/tests/stand_ins_test.cpp
@@ -29,13 +29,15 @@
     spec.need = {1, 1, 8};
     change(spec);
     rules.add(spec, 10, at(0));
-    rules.told(job, "pending", rules.sends(), at(0));
+    rules.on_phase_reported(job, "pending", rules.on_request_sent(), at(0));
+  }
+  void start(std::uint32_t index, const Place& where, double when = 1) {
+    rules.on_task_started({job, index}, where, at(when));
   }
-  void start(std::uint32_t index, const Place& where, double when = 1) { rules.starts({job, index}, where, at(when)); }
   // The first breach's name.
   [[nodiscard]] std::string found() const {
-    if (rules.breaches().empty()) return "";
-    const auto& line = rules.breaches().front();
+    if (rules.violations().empty()) return "";
+    const auto& line = rules.violations().front();
     const auto name = line.substr(line.find(' ') + 1);
     return name.substr(0, name.find_first_of(" :"));
   }
@@ -45,11 +47,11 @@
   RuleChecker j;
   for (std::uint32_t i = 0; i < 4; ++i) j.start(i, place("i-1"));
   for (std::uint32_t i = 0; i < 4; ++i) {
-    j.rules.completes({job, i});
-    j.rules.leaves({job, i}, MachineId{"i-1"});
+    j.rules.on_task_completed({job, i});
+    j.rules.on_task_left({job, i}, MachineId{"i-1"});
   }
-  j.rules.told(job, "done", j.rules.sends(), at(20));
-  j.rules.told(job, "done", j.rules.sends(), at(30));
+  j.rules.on_phase_reported(job, "done", j.rules.on_request_sent(), at(20));
+  j.rules.on_phase_reported(job, "done", j.rules.on_request_sent(), at(30));
   j.rules.finish(at(40));
   EXPECT_EQ("", j.found());
 }
@@ -103,22 +105,22 @@
   spread.start(2, place("i-1"));
   EXPECT_EQ("wrong_place", spread.found());
   RuleChecker spot;
-  spot.rules.starts({job, 0}, {MachineId{"i-1"}, "big", "a", true}, at(1));
+  spot.rules.on_task_started({job, 0}, {MachineId{"i-1"}, "big", "a", true}, at(1));
   EXPECT_EQ("wrong_place", spot.found());
 }
 
 TEST(rules, a_task_that_runs_long_after_its_cancellation_is_a_violation) {
   RuleChecker j;
   j.start(0, place("i-1"));
-  j.rules.works().at(job).cancel_asked = at(2);
-  j.rules.told(job, "withdrawn", j.rules.sends(), at(2));
+  j.rules.jobs().at(job).cancel_asked = at(2);
+  j.rules.on_phase_reported(job, "withdrawn", j.rules.on_request_sent(), at(2));
   j.rules.tick(at(2 + terms.cancel_s));
   EXPECT_EQ("", j.found());
   j.rules.tick(at(2 + terms.cancel_s + 0.1));
   EXPECT_EQ("ran_cancelled", j.found());
   RuleChecker late;
-  late.rules.works().at(job).cancel_asked = at(2);
-  late.rules.told(job, "withdrawn", late.rules.sends(), at(2));
+  late.rules.jobs().at(job).cancel_asked = at(2);
+  late.rules.on_phase_reported(job, "withdrawn", late.rules.on_request_sent(), at(2));
   late.start(0, place("i-1"), 2 + terms.cancel_s + 0.1);
   EXPECT_EQ("ran_cancelled", late.found());
 }
@@ -126,7 +128,7 @@
 TEST(rules, a_forgotten_job_is_a_violation) {
   for (const int status : {404, 400, 422}) {
     RuleChecker j;
-    j.rules.refused_forever(job, status, j.rules.sends(), at(1));
+    j.rules.on_permanent_refusal(job, status, j.rules.on_request_sent(), at(1));
     EXPECT_EQ("forgotten", j.found());
   }
   RuleChecker unanswered;
@@ -142,15 +144,15 @@
   invented.rules.on_unknown_job_known(JobId{"job-000009"}, at(1));
   EXPECT_EQ("invented", invented.found());
   RuleChecker not_done;
-  not_done.rules.told(job, "done", not_done.rules.sends(), at(1));
+  not_done.rules.on_phase_reported(job, "done", not_done.rules.on_request_sent(), at(1));
   EXPECT_EQ("not_done", not_done.found());
   RuleChecker cancelled_by_no_one;
-  cancelled_by_no_one.rules.told(job, "withdrawn", cancelled_by_no_one.rules.sends(), at(1));
+  cancelled_by_no_one.rules.on_phase_reported(job, "withdrawn", cancelled_by_no_one.rules.on_request_sent(), at(1));
   EXPECT_EQ("went_back", cancelled_by_no_one.found());
   RuleChecker went_back;
-  for (std::uint32_t i = 0; i < 4; ++i) went_back.rules.completes({job, i});
-  went_back.rules.told(job, "done", went_back.rules.sends(), at(1));
-  went_back.rules.told(job, "running", went_back.rules.sends(), at(2));
+  for (std::uint32_t i = 0; i < 4; ++i) went_back.rules.on_task_completed({job, i});
+  went_back.rules.on_phase_reported(job, "done", went_back.rules.on_request_sent(), at(1));
+  went_back.rules.on_phase_reported(job, "running", went_back.rules.on_request_sent(), at(2));
   EXPECT_EQ("went_back", went_back.found());
   RuleChecker nothing;
   nothing.rules.finish(at(9));
@@ -177,7 +179,7 @@
   cache.ready_at(other, at(10), fetch);
   EXPECT_EQ(at(16), cache.ready_at(spec, at(11), fetch)) << "both do not fit: the older one went";
   EXPECT_EQ(3, fetches);
-  cache.give_up("x", at(12));
+  cache.abandon_fetch("x", at(12));
   EXPECT_EQ(at(18), cache.ready_at(spec, at(13), fetch));
 }
 
--- a/tests/worker_reports.hpp
+++ b/tests/worker_reports.hpp
@@ -1,4 +1,4 @@
-// A worker's report as the core's tests want it: without tasks, from zone a, of a machine of type g.
+// A worker's heartbeat as the core's tests want it: without tasks, from zone a, of a machine of type g.
 #pragma once
 #include <string>
 
