--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -18,7 +18,7 @@
 }
 
 // A node and the one other node that it knows, on loopback.
-struct Pair {
+struct NodePair {
   rt::Loop loop;
   std::shared_ptr<spdlog::logger> log =
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
@@ -39,8 +39,8 @@
 };
 
 // Found by inc-4c3d: the first ping, sent once the state service fails, ended the process.
-TEST(peer_service, a_stuck_node_learns_whether_others_are_better_off) {
-  Pair p;
+TEST(peer_service, an_isolated_node_learns_whether_others_are_better_connected) {
+  NodePair p;
   rt::spawn(p.here.run_pings());
   EXPECT_EQ(PeerService::Availability::unreachable, p.here.availability());
   rt::spawn(p.other.serve());
@@ -52,7 +52,7 @@
 }
 
 // A leader that alone is cut off from the cloud could neither hire nor return anything.
-TEST(cloud_service, asks_another_node_to_pass_requests_on) {
+TEST(cloud_service, asks_another_node_to_forward_requests) {
   rt::Loop loop;
   auto log = std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
   int asked = 0;
@@ -77,7 +77,7 @@
   settings.cloud = "127.0.0.1:1";  // refuses
   Context ctx{loop, settings, Policy{}, log};
   StoreClient state{ctx};
-  PeerService peers{ctx, [](wire::PeerRequest) { return Pair::answer(421); }};
+  PeerService peers{ctx, [](wire::PeerRequest) { return NodePair::answer(421); }};
   CloudService here{ctx, state, peers};
   rt::spawn(here.run_types());
   const Time until = loop.refresh() + seconds(20);
--- a/tests/stand_ins_test.cpp
+++ b/tests/stand_ins_test.cpp
@@ -29,39 +29,41 @@
     spec.need = {1, 1, 8};
     change(spec);
     rules.add(spec, 10, at(0));
-    rules.told(job, "pending", rules.sends(), at(0));
+    rules.on_phase_reported(job, "pending", rules.on_request_sent(), at(0));
+  }
+  void start(std::uint32_t index, const Place& where, double when = 1) {
+    rules.on_task_started({job, index}, where, at(when));
   }
-  void start(std::uint32_t index, const Place& where, double when = 1) { rules.starts({job, index}, where, at(when)); }
   // The first breach's name.
   [[nodiscard]] std::string found() const {
-    if (rules.breaches().empty()) return "";
-    const auto& line = rules.breaches().front();
+    if (rules.violations().empty()) return "";
+    const auto& line = rules.violations().front();
     const auto name = line.substr(line.find(' ') + 1);
     return name.substr(0, name.find_first_of(" :"));
   }
 };
 
-TEST(judge, finds_nothing_where_nothing_is_wrong) {
+TEST(rules, find_nothing_where_nothing_is_wrong) {
   RuleChecker j;
   for (std::uint32_t i = 0; i < 4; ++i) j.start(i, place("i-1"));
   for (std::uint32_t i = 0; i < 4; ++i) {
-    j.rules.completes({job, i});
-    j.rules.leaves({job, i}, MachineId{"i-1"});
+    j.rules.on_task_completed({job, i});
+    j.rules.on_task_left({job, i}, MachineId{"i-1"});
   }
-  j.rules.told(job, "done", j.rules.sends(), at(20));
-  j.rules.told(job, "done", j.rules.sends(), at(30));
+  j.rules.on_phase_reported(job, "done", j.rules.on_request_sent(), at(20));
+  j.rules.on_phase_reported(job, "done", j.rules.on_request_sent(), at(30));
   j.rules.finish(at(40));
   EXPECT_EQ("", j.found());
 }
 
-TEST(judge, ran_twice) {
+TEST(rules, a_task_that_runs_twice_is_a_violation) {
   RuleChecker j;
   j.start(0, place("i-1"));
   j.start(0, place("i-2"));
   EXPECT_EQ("ran_twice", j.found());
 }
 
-TEST(judge, quota) {
+TEST(rules, a_team_over_its_limit_is_a_violation) {
   RuleChecker j{[](JobSpec& s) { s.need.gpus = 2; }};
   for (std::uint32_t i = 0; i < 2; ++i) j.start(i, place("i-1"));
   EXPECT_EQ("", j.found());
@@ -69,7 +71,7 @@
   EXPECT_EQ("quota", j.found());
 }
 
-TEST(judge, quota_by_the_limits_in_force) {
+TEST(rules, quotas_are_checked_by_the_limits_in_force) {
   RuleChecker j;
   j.rules.change_limits({{"red", {}, {0, 1, 0}}}, at(10), seconds(8));
   j.start(0, place("i-1"), 11);
@@ -79,14 +81,14 @@
   EXPECT_EQ("quota", j.found());
 }
 
-TEST(judge, quota_of_a_team_that_was_removed) {
+TEST(rules, the_quota_of_a_removed_team_is_checked) {
   RuleChecker j;
   j.rules.change_limits({}, at(10), seconds(8));
   j.start(0, place("i-1"), 18.1);
   EXPECT_EQ("quota", j.found());
 }
 
-TEST(judge, wrong_place) {
+TEST(rules, a_task_in_the_wrong_place_is_a_violation) {
   RuleChecker type{[](JobSpec& s) { s.types = {"small"}; }};
   type.start(0, place("i-1"));
   EXPECT_EQ("wrong_place", type.found());
@@ -103,30 +105,30 @@
   spread.start(2, place("i-1"));
   EXPECT_EQ("wrong_place", spread.found());
   RuleChecker spot;
-  spot.rules.starts({job, 0}, {MachineId{"i-1"}, "big", "a", true}, at(1));
+  spot.rules.on_task_started({job, 0}, {MachineId{"i-1"}, "big", "a", true}, at(1));
   EXPECT_EQ("wrong_place", spot.found());
 }
 
-TEST(judge, ran_cancelled) {
+TEST(rules, a_task_that_runs_long_after_its_cancellation_is_a_violation) {
   RuleChecker j;
   j.start(0, place("i-1"));
-  j.rules.works().at(job).cancel_asked = at(2);
-  j.rules.told(job, "withdrawn", j.rules.sends(), at(2));
+  j.rules.jobs().at(job).cancel_asked = at(2);
+  j.rules.on_phase_reported(job, "withdrawn", j.rules.on_request_sent(), at(2));
   j.rules.tick(at(2 + terms.cancel_s));
   EXPECT_EQ("", j.found());
   j.rules.tick(at(2 + terms.cancel_s + 0.1));
   EXPECT_EQ("ran_cancelled", j.found());
   RuleChecker late;
-  late.rules.works().at(job).cancel_asked = at(2);
-  late.rules.told(job, "withdrawn", late.rules.sends(), at(2));
+  late.rules.jobs().at(job).cancel_asked = at(2);
+  late.rules.on_phase_reported(job, "withdrawn", late.rules.on_request_sent(), at(2));
   late.start(0, place("i-1"), 2 + terms.cancel_s + 0.1);
   EXPECT_EQ("ran_cancelled", late.found());
 }
 
-TEST(judge, forgotten) {
+TEST(rules, a_forgotten_job_is_a_violation) {
   for (const int status : {404, 400, 422}) {
     RuleChecker j;
-    j.rules.refused_forever(job, status, j.rules.sends(), at(1));
+    j.rules.on_permanent_refusal(job, status, j.rules.on_request_sent(), at(1));
     EXPECT_EQ("forgotten", j.found());
   }
   RuleChecker unanswered;
@@ -137,20 +139,20 @@
   EXPECT_EQ("forgotten", unanswered.found());
 }
 
-TEST(judge, invented_not_done_went_back_nothing_ran) {
+TEST(rules, invented_unfinished_reverted_and_never_run_results_are_violations) {
   RuleChecker invented;
   invented.rules.on_unknown_job_known(JobId{"job-000009"}, at(1));
   EXPECT_EQ("invented", invented.found());
   RuleChecker not_done;
-  not_done.rules.told(job, "done", not_done.rules.sends(), at(1));
+  not_done.rules.on_phase_reported(job, "done", not_done.rules.on_request_sent(), at(1));
   EXPECT_EQ("not_done", not_done.found());
   RuleChecker cancelled_by_no_one;
-  cancelled_by_no_one.rules.told(job, "withdrawn", cancelled_by_no_one.rules.sends(), at(1));
+  cancelled_by_no_one.rules.on_phase_reported(job, "withdrawn", cancelled_by_no_one.rules.on_request_sent(), at(1));
   EXPECT_EQ("went_back", cancelled_by_no_one.found());
   RuleChecker went_back;
-  for (std::uint32_t i = 0; i < 4; ++i) went_back.rules.completes({job, i});
-  went_back.rules.told(job, "done", went_back.rules.sends(), at(1));
-  went_back.rules.told(job, "running", went_back.rules.sends(), at(2));
+  for (std::uint32_t i = 0; i < 4; ++i) went_back.rules.on_task_completed({job, i});
+  went_back.rules.on_phase_reported(job, "done", went_back.rules.on_request_sent(), at(1));
+  went_back.rules.on_phase_reported(job, "running", went_back.rules.on_request_sent(), at(2));
   EXPECT_EQ("went_back", went_back.found());
   RuleChecker nothing;
   nothing.rules.finish(at(9));
@@ -159,7 +161,7 @@
 
 // ---- images ----
 
-TEST(stand_ins, an_image_is_fetched_once_kept_and_given_up) {
+TEST(stand_ins, an_image_is_fetched_once_cached_and_its_fetch_abandoned) {
   ImageCache cache{10};
   JobSpec spec;
   spec.image = "x";
@@ -177,7 +179,7 @@
   cache.ready_at(other, at(10), fetch);
   EXPECT_EQ(at(16), cache.ready_at(spec, at(11), fetch)) << "both do not fit: the older one went";
   EXPECT_EQ(3, fetches);
-  cache.give_up("x", at(12));
+  cache.abandon_fetch("x", at(12));
   EXPECT_EQ(at(18), cache.ready_at(spec, at(13), fetch));
 }
 
@@ -201,7 +203,7 @@
   EXPECT_EQ(400, store.commit(many, at(1)).status);
 }
 
-TEST(stand_ins, a_watch_that_asks_for_too_old_a_revision_is_told_so) {
+TEST(stand_ins, a_watch_from_a_compacted_revision_is_refused) {
   StoreModel store;
   for (int i = 0; i < 10'001; ++i) store.write("a", i);
   EXPECT_EQ(410, store.look({"a", 0, {}}, false)->status);
