--- a/src/service/cancellation_service.hpp
+++ b/src/service/cancellation_service.hpp
@@ -16,14 +16,9 @@
 // final state is in the store, so that no later leader can run it again.
 class CancellationService {
  public:
+  // What it is given belongs to the node and outlives it.
   CancellationService(Context& ctx, PeerService& peers, LeaderService& leader_service, JobRowStore& job_rows,
-                      JobReader& reader, InboxWriter& inbox)
-      : ctx_(ctx),
-        peers_(peers),
-        leader_service_(leader_service),
-        job_rows_(job_rows),
-        reader_(reader),
-        inbox_(inbox) {}
+                      JobReader& reader, InboxWriter& inbox);
 
   // A user's POST /api/jobs/{id}/cancel at this node: 200 with the final state, 404, or 503.
   rt::Task<rt::HttpResponse> cancel(std::string id);
