--- a/tests/recorded_rounds_test.cpp
+++ b/tests/recorded_rounds_test.cpp
@@ -1,5 +1,5 @@
 // What the core gave out on a few days of the simulation, held against what was recorded of an earlier version: a
-// change that must not change decisions is shown not to. One that means to records anew (docs/architecture.md).
+// change that must not change decisions is shown not to. One that means to records anew (CONTRIBUTING.md).
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/stored_bytes_test.cpp
+++ b/tests/stored_bytes_test.cpp
@@ -1,7 +1,7 @@
 // The bytes that stand in the store and travel between nodes, workers, users and the cloud, held against those that
 // the encoders of 7edafbd wrote (tests/data/stored_bytes.txt): a renaming in the sources must not reach them. What can
 // be read is also read from there and written again. MARTENWALL_RECORD_BYTES=1 adds lines for new samples; it never
-// changes a line that is there (docs/architecture.md).
+// changes a line that is there (CONTRIBUTING.md).
 #include <gtest/gtest.h>
 
 #include <cstdlib>
