--- a/src/core/capacity/scale_out_planner.hpp
+++ b/src/core/capacity/scale_out_planner.hpp
@@ -13,6 +13,7 @@
 
 constexpr double usual_boot = 1.25;  // times the nominal boot time within which most machines are up
 
+// Machines to be rented: one kind in one zone.
 struct ScaleOutRequest {
   std::string name;  // never reused, by any leader
   std::string type, zone;
@@ -30,6 +31,7 @@
   }
 };
 
+// Tasks of one job that found no place.
 struct Demand {
   const JobSpec* spec = nullptr;
   Job* job = nullptr;
@@ -50,6 +52,7 @@
   Machine* idle = nullptr;  // up and empty: kept as long as a job that waits counts on it
 };
 
+// What the planner knows of the fleet.
 struct FleetView {
   Time now{};
   const Policy& policy;
@@ -63,6 +66,7 @@
 // one that is hired now would be up.
 class LoadHistory {
  public:
+  // One sample a second.
   void add(double busy);
   // What the load may grow by over `horizon` samples: `deviations` times the scatter of its growth lately, or
   // of a load that comes by chance (its root), since a small fleet's history tells too little.
--- a/src/core/leadership/leadership.hpp
+++ b/src/core/leadership/leadership.hpp
@@ -8,6 +8,7 @@
 
 namespace martenwall {
 
+// This node's role.
 enum class LeaderState {
   follower,  // another node leads, or none
   loading,   // holds the key, reads the store
@@ -16,6 +17,7 @@
 };
 std::string_view name_of(LeaderState s);
 
+// The role, the fencing token and until when the lease is valid.
 class Leadership {
  public:
   Leadership(const Policy& policy, const WorkerTerms& terms);
@@ -25,16 +27,22 @@
   [[nodiscard]] Duration grace() const { return grace_; }
   // All three bounds count from the moment before a renewal was sent, less clock drift.
   void acquired(FencingToken token, Time lease_sent);
+  // The rows were read: it may place, if its lease is still valid.
   void loaded(Time now);
+  // The lease was renewed by a request that was sent then.
   void renewed(Time sent, Time now);
+  // It is a follower from now on.
   void lost();
+  // To be called now and then: notices that the lease expired.
   void tick(Time now);
 
   [[nodiscard]] LeaderState state() const { return state_; }
   [[nodiscard]] FencingToken token() const { return token_; }
+  // Whether no other node can lead now, so that starts may go out.
   [[nodiscard]] bool has_valid_lease(Time now) const;
   // May it answer workers with 200?
   [[nodiscard]] bool serves_workers(Time now) const;
+  // When the lease expires.
   [[nodiscard]] Time valid_until() const { return valid_until_; }
 
  private:
--- a/src/core/leadership/retry_after.hpp
+++ b/src/core/leadership/retry_after.hpp
@@ -4,6 +4,7 @@
 
 namespace martenwall {
 
+// Paces the Retry-After of refused requests.
 class RetryAfterPacer {
  public:
   // `per_second`: requests that this node can take beside new ones. `most_s`: no user is sent away for longer.
--- a/src/core/messages.hpp
+++ b/src/core/messages.hpp
@@ -8,6 +8,7 @@
 
 namespace martenwall {
 
+// What a worker says of one task.
 struct TaskStatus {
   TaskId task;
   Attempt attempt;
@@ -16,6 +17,7 @@
   bool saved = false;
 };
 
+// A worker's heartbeat with the status of all its tasks.
 struct Heartbeat {
   MachineId machine;
   std::string addr, type, zone;
@@ -27,8 +29,10 @@
   std::vector<TaskStatus> tasks;
 };
 
+// A heartbeat that the worker sent by itself, or its reply to a command, which tells the same.
 enum class StatusSource { heartbeat, command_reply };
 
+// What a worker is to do with one task; `forget`: its end is stored.
 struct Command {
   enum class Verb { start, stop, forget };
   Verb verb = Verb::start;
@@ -37,7 +41,7 @@
   double grace_s = 0;
 };
 
-// What a worker's report is answered with, by whichever node.
+// What a worker's heartbeat is answered with, by whichever node.
 struct HeartbeatResponse {
   enum class Kind : std::uint8_t {
     commands,     // 200: renews its lease
@@ -49,6 +53,7 @@
   std::vector<Command> commands{};
 };
 
+// Commands that are sent straight to a worker; it refuses them in another incarnation.
 struct CommandBatch {
   MachineId machine;
   std::string addr;
@@ -56,8 +61,10 @@
   std::vector<Command> commands;
 };
 
+// `unknown`: no answer came, so that the commands may still be executed.
 enum class CommandOutcome { executed, refused, not_sent, unknown };
 
+// A machine in the cloud's list.
 struct ListedMachine {
   MachineId id;
   std::string addr, type, zone;
@@ -74,6 +81,7 @@
   bool dependent = false;  // where its own row stood
 };
 
+// What users are told of a job.
 struct JobStatus {
   JobId id;
   JobPhase phase = JobPhase::pending;
@@ -92,7 +100,7 @@
 };
 
 // A run of a job's task indices. It says which of them are done and which may be on a machine, and no attempt
-// from `next_attempt` on was used for any of them. Team, need and rank stand here too, since the tasks of a
+// from `next_attempt` on was used for any of them. Team, need and priority stand here too, since the tasks of a
 // cancelled job outlive its own row. Where the runs of several rows overlap, the one that begins last counts.
 struct TaskRow {
   JobId job;
@@ -103,6 +111,7 @@
   Priority priority = Priority::normal;
   std::uint64_t next_attempt = 1;
   std::vector<DoneSet::Range> done;
+  // A task that may be on a machine.
   struct PlacedTask {
     std::uint32_t index = 0;
     Attempt attempt;
@@ -115,6 +124,7 @@
 
 // A row of the store that is to be written; what is not set is removed.
 enum class RowKind { final_job, tasks_v1, tasks, machines };
+// Names a row of the store.
 struct RowKey {
   RowKind kind = RowKind::tasks;
   std::string id;          // of the job; empty for facts
--- a/src/core/model/configuration.hpp
+++ b/src/core/model/configuration.hpp
@@ -24,6 +24,7 @@
 // force everywhere once this has passed since its commit: whoever has not read it decides nothing by then.
 constexpr Duration configuration_validity = seconds(5);
 
+// What this node knows of the configuration in the store.
 enum class ConfigurationState {
   unknown,   // not read since the process began
   unused,    // there is none, and none can come without this node's word
@@ -31,12 +32,14 @@
 };
 std::string_view name_of(ConfigurationState s);
 
+// Until when the known version may be decided by.
 class ConfigurationValidity {
  public:
   [[nodiscard]] ConfigurationState state() const { return state_; }
   // A read that was sent then found none. Only of the reads that say so (docs/safety.md) it follows that none can come
   // without this node's word.
   void found_none(Time sent, bool none_can_come);
+  // A read that was sent then found the known version to be the newest.
   void found(Time sent);
   void follow();  // this node gave its word
   [[nodiscard]] bool follows() const { return state_ == ConfigurationState::followed; }
--- a/src/core/model/done_set.hpp
+++ b/src/core/model/done_set.hpp
@@ -7,6 +7,7 @@
 
 namespace martenwall {
 
+// Indices of tasks that are done: all below the lowest unfinished one, and single ones above it.
 class DoneSet {
  public:
   using Range = std::pair<std::uint32_t, std::uint32_t>;  // first, last (inclusive)
@@ -17,6 +18,7 @@
   [[nodiscard]] std::uint32_t count() const { return lowest_ + static_cast<std::uint32_t>(above_.size()); }
   [[nodiscard]] std::uint32_t upper() const { return above_.empty() ? lowest_ : *above_.rbegin() + 1; }
   [[nodiscard]] std::vector<Range> ranges_in(std::uint32_t first, std::uint32_t last) const;  // last inclusive
+  // Both ends included.
   void insert_range(const Range& range);
   bool operator==(const DoneSet&) const = default;
 
--- a/src/core/model/model.hpp
+++ b/src/core/model/model.hpp
@@ -15,14 +15,18 @@
 
 namespace martenwall {
 
+// A job array (independent tasks), a gang (all tasks at once or none) or a service (replicas that keep running).
 enum class JobKind { array, gang, service };
+// Ordered: a job may preempt work of lower priority.
 enum class Priority { best_effort, normal, high, production };
-// `waiting`: jobs that it awaits are not all done; users are told `pending`.
+// `waiting`: blocked: jobs that it depends on are not all done; users are told `pending`.
 enum class JobPhase { pending, running, done, cancelled, waiting };
+// As users are told.
 std::string_view name_of(JobPhase p);
 
 constexpr bool is_final(JobPhase p) { return p == JobPhase::done || p == JobPhase::cancelled; }
 
+// Amounts of what a task needs, or a machine or team has.
 struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
   [[nodiscard]] bool fits_in(const Resources& room) const {
@@ -41,6 +45,7 @@
   [[nodiscard]] Resources times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
 };
 
+// A kind of machine that the cloud rents: capacity, image cache, prices, nominal boot time, zones.
 struct MachineType {
   std::string name;
   Resources room;
@@ -56,11 +61,13 @@
   return dominant * (type.room.gpus > 0 ? type.room.gpus : type.room.cpus);
 }
 
+// Whose quota work counts for.
 struct Team {
   std::string name;
   Resources guarantee, limit;  // memory unused; 0 in `limit` of a kind means none may be used
 };
 
+// A job as its user submitted it.
 struct JobSpec {
   JobId id;
   std::string job_class, team;
@@ -78,9 +85,15 @@
   std::vector<JobId> dependencies;  // have to be done before any task of it starts; no two alike
 };
 
+// How far a task is on its machine, in order: planned (row not stored or start not sent), sent, fetching its image,
+// waiting for its gang, running, saving a checkpoint, ended.
 enum class TaskState { planned, sent, fetching, waiting, running, saving, ended };
+// For the log.
 std::string_view name_of(TaskState s);
+// Why a task ended, as its worker reports it; `peers`: a member of its gang was lost, `alone`: its gang was not
+// complete in time, `no_room` and `busy`: the worker refused the start, `unknown`: the worker does not know the task.
 enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+// For the log.
 std::string_view name_of(ExitCause c);
 
 // A task that may be on a machine. It is stored in the machine's row before its start is sent.
@@ -110,8 +123,8 @@
   Time state_since{};
   Time running_since{};
   bool unconfirmed = false;                         // recorded by an earlier leader, not yet confirmed or refuted
-  bool direct_start_unanswered = false;             // an unanswered direct start may still execute in this session
-  std::optional<HeartbeatSequence> start_sequence;  // the report in whose response the start went out last
+  bool direct_start_unanswered = false;             // an unanswered direct start may still execute in this incarnation
+  std::optional<HeartbeatSequence> start_sequence;  // the heartbeat in whose response the start went out last
   bool removed = false;                             // surely not on the machine; swept after the event
   bool stop_requested = false;
   bool stop_sent = false;
@@ -127,17 +140,22 @@
 enum class MachinePhase { booting, up, draining, releasing, lost };
 std::string_view name_of(MachinePhase p);
 
+// A rented machine: what its worker reported, what may be on it, and how far it can be trusted.
 class Machine {
  public:
   explicit Machine(MachineId machine_id) : id(std::move(machine_id)) {}
+  // The one function that changes the phase; returns false where the change is not a legal one.
   bool enter(MachinePhase next, Time now);
   [[nodiscard]] MachinePhase phase() const { return phase_; }
   [[nodiscard]] bool takes_starts() const { return phase_ == MachinePhase::up && has_reported; }
+  // nullptr where there is none.
   Placement* find(const TaskId& task, Attempt attempt);
   [[nodiscard]] bool empty() const { return task_count == 0; }
+  // Of an image in the machine's cache.
   enum class ImageState { absent, coming, ready };
   [[nodiscard]] ImageState image_state(ImageId image) const;
   [[nodiscard]] bool has_image(ImageId image) const { return image_state(image) == ImageState::ready; }
+  // The image was used, or its fetch began (`ready` false): the least recently used ones leave the cache.
   void touch_image(ImageId image, double gb, double cache_gb, bool ready = true);
   void drop_fetch(ImageId image);  // given up before it was complete
 
@@ -148,7 +166,7 @@
   Incarnation ended_incarnation{0};  // this one and all before it are surely over
   HeartbeatSequence sequence;
   bool has_reported = false;       // reported to this leadership
-  Time incarnation_known_since{};  // when the session was first heard of: it began no later
+  Time incarnation_known_since{};  // when the incarnation was first known: it began no later
   Time first_known{}, lease_renewed_at{}, last_report_at{}, last_heartbeat_at{}, phase_since{}, idle_since{};
   std::optional<Time> reclaimed_at;  // spot notice
   std::optional<Time> listed_at;     // first seen in the cloud's list
@@ -177,6 +195,7 @@
   MachinePhase phase_ = MachinePhase::booting;
 };
 
+// A job with the progress of its tasks.
 struct Job {
   JobSpec spec;
   Time submitted{};
@@ -225,15 +244,20 @@
   void reset_urgency();  // as its user stated it
   // The one function that changes the phase; an end is for good.
   bool enter(JobPhase next);
+  // Tasks that may be placed now; 0 while it is blocked or over.
   [[nodiscard]] std::uint32_t pending_tasks() const;
   [[nodiscard]] std::optional<std::uint32_t> next_pending() const;
+  // Tasks that are not done.
   [[nodiscard]] std::uint32_t unfinished() const { return spec.tasks - done.count(); }
+  // The task is placed on the machine.
   void take(std::uint32_t index, const MachineId& machine);
+  // The task is on no machine any more.
   void return_to_pending(std::uint32_t index);
   // A task of an array completed, also one that this leader did not start.
   void complete(std::uint32_t index);
   // May be there: as the one place of the task, or besides another.
   void hold(std::uint32_t index, const MachineId& machine);
+  // On so many machines it failed while nothing of it was done, under earlier leaders too.
   [[nodiscard]] std::uint32_t failed_machines() const {
     return failed_before + static_cast<std::uint32_t>(failed_on.size());
   }
--- a/src/core/model/policy.hpp
+++ b/src/core/model/policy.hpp
@@ -8,6 +8,7 @@
 
 namespace martenwall {
 
+// Defaults stand in policy.cpp; a configuration change may replace some of them while the service runs.
 struct Policy {
   Policy();  // the defaults, in policy.cpp
 
@@ -19,12 +20,12 @@
   double input_weight;  // Input: images already cached
   double aging_weight;  // Anti-aging, per second waited
   double aging_cap;
-  double priority_weight;   // per step of rank
-  double guarantee_weight;  // work within its team's guarantee
-  double packing_weight;    // fuller machines first, so that whole ones stay free
-  double spot_weight;       // spot machines for those who may use them
-  double begin_weight;      // arrays of which nothing began for two minutes: for one task of each; 0: off
-  double shortage_weight;   // what cannot be in time, in a shortage: per time that it misses; 0: nobody is told apart
+  double priority_weight;      // per step of priority
+  double guarantee_weight;     // work within its team's guarantee
+  double packing_weight;       // fuller machines first, so that whole ones stay free
+  double spot_weight;          // spot machines for those who may use them
+  double begin_weight;         // arrays of which nothing began for two minutes: for one task of each; 0: off
+  double shortage_weight;      // what cannot be in time, in a shortage: per time that it misses; 0: off
   double shortage_efficiency;  // part of the room freed that is counted on for running work, 0 to 1
   // Rounds and fleet
   Duration cycle_interval;
@@ -45,7 +46,7 @@
   int error_limit;              // failures in a row of different jobs: quarantine
   int suspect_machines;         // a job that failed on so many, with nothing done, is suspect
   // Workers
-  bool relay_heartbeats;       // followers take workers' reports and pass them on
+  bool relay_heartbeats;       // followers take workers' heartbeats and forward them
   double relay_leader_weight;  // part of a follower's share of the workers that report to the leader itself
   int metrics_port;            // of a listener on loopback that serves /metrics; 0: none
   // Leadership
@@ -61,6 +62,7 @@
   std::map<std::string, std::vector<double>> deadlines_by_class;  // times its deadline within which to be done
 };
 
+// The protocol's times for workers, seconds.
 struct WorkerTerms {
   double heartbeat_interval_s = 3, lease_s = 20, gang_wait_s = 50, gang_peer_s = 4, cancel_s = 40;
 };
--- a/src/core/model/quota_usage.hpp
+++ b/src/core/model/quota_usage.hpp
@@ -8,9 +8,11 @@
 
 namespace martenwall {
 
+// Sums by team; a copy can be used to try placements out.
 class QuotaUsage {
  public:
   explicit QuotaUsage(const std::map<std::string, Team>& teams) : teams_(teams) {}
+  // `times` may be negative.
   void add(const std::string& team, const Resources& r, double times = 1) { used_[team].add(r, times); }
   [[nodiscard]] Resources used(const std::string& team) const {
     const auto it = used_.find(team);
@@ -26,6 +28,7 @@
     u.add(left);
     return std::min(fits(it->second.limit.cpus, u.cpus, need.cpus), fits(it->second.limit.gpus, u.gpus, need.gpus));
   }
+  // Whether the team uses more than its guaranteed quota, or has none.
   [[nodiscard]] bool over_guarantee(const std::string& team) const {
     const auto it = teams_.find(team);
     if (it == teams_.end()) return true;
--- a/src/core/persistence/write_queue.hpp
+++ b/src/core/persistence/write_queue.hpp
@@ -12,12 +12,14 @@
 
 namespace martenwall {
 
+// How soon a row is written.
 enum class WritePriority : std::uint8_t {
   foreground,   // users or starts wait for it
   best_effort,  // the same, of work that takes what others leave: gets a share, and what is left
   deferrable,   // no rule needs it; written when there is nothing else
 };
 
+// Rows by due time, one queue a priority.
 class WriteQueue {
  public:
   // A row that is queued already keeps the earlier time and the higher urgency.
@@ -31,6 +33,7 @@
     }
     queue_of(it->second.priority).emplace(it->second.due, key);
   }
+  // The row need not be written any more.
   void drop(const RowKey& key) {
     const auto it = entries_.find(key);
     if (it == entries_.end()) return;
@@ -41,7 +44,7 @@
   // waits for, where there are no others.
   std::vector<RowKey> take(std::size_t most, bool deferrable, Time now) {
     std::vector<RowKey> out;
-    // Else a flood of small guests would stop everyone's starts, or everyone's starts the guests for good.
+    // Else a flood of small best-effort jobs would stop everyone's starts, or these the best-effort jobs for good.
     const std::size_t share = ready(WritePriority::best_effort, now) ? std::max<std::size_t>(1, most / 4) : 0;
     take_some(WritePriority::foreground, most - std::min(most, share), now, out);
     take_some(WritePriority::best_effort, most, now, out);
@@ -49,7 +52,9 @@
     if (out.empty() && deferrable) take_some(WritePriority::deferrable, most, now, out);
     return out;
   }
+  // The write of a row that `take` returned is over.
   void done(const RowKey& key) { under_way_.erase(key); }
+  // Whether the row is queued or being written.
   [[nodiscard]] bool contains(const RowKey& key) const { return entries_.contains(key) || under_way_.contains(key); }
   // Rows whose time has come, and for how long the first of them has waited.
   struct Backlog {
@@ -64,6 +69,7 @@
     }
     return out;
   }
+  // Whether `take` would return a row of this priority.
   [[nodiscard]] bool ready(WritePriority priority, Time now) const {
     for (const auto& [due, key] : queues_.at(static_cast<std::size_t>(priority))) {
       if (due > now) return false;
--- a/src/core/placement/heuristics.hpp
+++ b/src/core/placement/heuristics.hpp
@@ -27,13 +27,15 @@
   Resources reserved_headroom{};  // of its team's limit, to a row that goes before it and needs more for one task
 };
 
+// A machine with room; a column of the matrix.
 struct CandidateMachine {
   Machine* machine = nullptr;
   const MachineType* type = nullptr;
   Resources free;
-  std::size_t slots = 0;                               // further tasks that one machine may hold
-  Priority reserved_priority = Priority::best_effort;  // a gang of this rank gathers the machine: lower ranks keep off
-  std::size_t kind = 0;                                // of `Board::kinds`
+  std::size_t slots = 0;  // further tasks that one machine may hold
+  Priority reserved_priority =
+      Priority::best_effort;  // a gang of this priority gathers the machine: lower ones keep off
+  std::size_t kind = 0;       // of `PlacementProblem::kinds`
 };
 
 // Machines of one type in one zone, spot or not: what a job demands of its place is looked up once for all of them.
@@ -47,6 +49,7 @@
 // For each kind: may a task of the job run there?
 std::vector<char> allowed_kinds(const JobSpec& spec, const std::vector<MachineKind>& kinds);
 
+// One score for each pending job and machine that fits.
 class ScoreMatrix {
  public:
   ScoreMatrix(std::size_t rows, std::size_t columns)
@@ -62,6 +65,7 @@
   std::vector<char> fits_;
 };
 
+// What one scheduling cycle has to solve.
 struct PlacementProblem {
   Time now{};
   const Policy& policy;
@@ -69,19 +73,24 @@
   std::vector<CandidateMachine> machines;  // by `add`
   std::vector<MachineKind> kinds{};
   std::set<JobId> guaranteed{};  // unfinished jobs within their team's guarantee, running ones too
-  // Seconds between reports. When a machine became idle is known no better: finer differences are accidents of the
-  // order in which reports arrive, which differs with the node that takes them, and must not choose a machine.
+  // Seconds between heartbeats. When a machine became idle is known no better: finer differences are accidents of the
+  // order in which heartbeats arrive, which differs with the node that takes them, and must not choose a machine.
   double idle_granularity_s = 0;
   void add(CandidateMachine column);
 };
 
 // May a task of this job ever run on such a machine?
 bool type_allows(const JobSpec& spec, const MachineType& type);
+// May it run in this zone, on a spot machine or not?
 bool place_allows(const JobSpec& spec, const std::string& zone, bool spot);
 
+// The paper's f1: rises from the minimum to the maximum as the expected end nears the deadline. All in seconds from the
+// submission.
 double deadline_curve(const Policy& p, double extime_s, double deadline_s, double nxtime_s);
 
 namespace heuristics {
+// Each adds to the scores of the allowed entries; this one allows the entries that fit. What each is for stands in
+// heuristic_table.cpp.
 void minimal_requirements(const PlacementProblem& problem, ScoreMatrix& m);
 void deadline(const PlacementProblem& problem, ScoreMatrix& m);
 void wait_minimization(const PlacementProblem& problem, ScoreMatrix& m);
@@ -104,6 +113,7 @@
 // What comes free of a limit comes in the size of the tasks that end, and small ones would take it for ever.
 void reserve_limit_headroom(PlacementProblem& problem, QuotaUsage used, const std::vector<MachineType>& types);
 
+// All heuristics of the table, added up.
 ScoreMatrix build_scores(const PlacementProblem& problem);
 
 }  // namespace martenwall
--- a/src/core/placement/matcher.hpp
+++ b/src/core/placement/matcher.hpp
@@ -8,6 +8,7 @@
 
 namespace martenwall {
 
+// A placement decision.
 struct Match {
   std::size_t row = 0;
   std::vector<std::size_t> columns;  // one per task; a gang's whole set or one array task
@@ -19,10 +20,12 @@
 // May one more task of the job go to this zone?
 bool zone_allows(const JobSpec& spec, const ZoneCounts& counts, const std::string& zone);
 
+// Solves one problem; lowers the room and the quota that it was given as it places.
 class Matcher {
  public:
   Matcher(PlacementProblem& problem, ScoreMatrix& matrix, QuotaUsage& quota_usage,
           const std::map<MachineId, Machine>& machines);
+  // To be called once.
   std::vector<Match> run();
 
  private:
--- a/src/core/placement/preemption.hpp
+++ b/src/core/placement/preemption.hpp
@@ -9,13 +9,14 @@
 
 namespace martenwall {
 
+// Which tasks to stop on which machines.
 struct PreemptionPlan {
   std::vector<Machine*> machines;  // to be kept for the job
   std::vector<std::pair<MachineId, TaskId>> victims;
   double cost = 0;  // GPU-seconds: work lost, and the cold fetches to come
 };
 
-// Something on a machine that might be stopped. Looked up once a round, since many rows ask.
+// Something on a machine that might be stopped. Looked up once a cycle, since many pending jobs ask.
 struct Victim {
   const Placement* placement = nullptr;
   const Job* job = nullptr;  // nothing where it is not known any more
@@ -24,6 +25,7 @@
   double lost = 0;           // GPU-seconds of work lost with it
 };
 
+// A machine and what might be stopped there.
 struct VictimMachine {
   Machine* machine = nullptr;
   const MachineType* type = nullptr;
@@ -32,9 +34,9 @@
 };
 using VictimTable = std::vector<VictimMachine>;
 
-// PROTOCOL, "Preemption": lower rank, or another team's work beyond its guarantee for a job within
-// its own. Of the two, rank is looked at first and the guarantee decides among equals: were each
-// enough by itself, a higher rank without guarantee and a lower one within it would stop each other
+// PROTOCOL, "Preemption": lower priority, or another team's work beyond its guarantee for a job within
+// its own. Of the two, priority is looked at first and the guarantee decides among equals: were each
+// enough by itself, a higher priority without guarantee and a lower one within it would stop each other
 // in turn for ever.
 bool may_preempt(const PendingJob& pending, const Victim& victim);
 // Seconds that a lone task is given to save when it is stopped for others: none where what it did since its last
--- a/src/core/reachability/leader_reachability.hpp
+++ b/src/core/reachability/leader_reachability.hpp
@@ -14,7 +14,9 @@
 // A follower's view: workers that it sent to the leader lately. Those that the leader keeps do not come again.
 class RedirectedWorkers {
  public:
+  // The worker was sent to the leader.
   void record(const MachineId& worker, Time now);
+  // Workers that came here lately although they were sent to the leader.
   [[nodiscard]] std::size_t stranded(Time now);
   void clear() { visits_.clear(); }  // another leader: what they met before says nothing of it
 
@@ -40,10 +42,12 @@
   // `heard`: workers that reported here within `window`. Returns true once leadership should be given up.
   bool should_step_down(std::size_t reporting, Time now);
   void on_heartbeat(Time now);  // a worker reached this node, whatever it was answered
+  // Within this time each worker that is well has reported once.
   [[nodiscard]] Duration window() const { return window_; }
   // How long this node lets the others go first once no one leads.
   [[nodiscard]] Duration campaign_delay(Time now) const;
   [[nodiscard]] LeaderReachabilityState state() const { return state_; }
+  // The highest number of stranded workers that another node reported lately.
   [[nodiscard]] std::size_t reported_stranded(Time now) const;
 
  private:
--- a/src/core/scheduler/leader_log.hpp
+++ b/src/core/scheduler/leader_log.hpp
@@ -70,6 +70,7 @@
   std::size_t pending_tasks = 0, pending_jobs = 0, deferred_jobs = 0;
 };
 
+// Used by the modules of the scheduler only; other parts of the service log by themselves.
 class LeaderLog {
  public:
   using Sink = std::function<void(const std::string&)>;
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -9,6 +9,7 @@
 
 namespace martenwall {
 
+// A value of its own type, so that an id is not taken for another.
 template <class Tag, class Rep>
 class Strong {
  public:
@@ -47,6 +48,7 @@
 constexpr Duration seconds(double s) { return Duration{static_cast<Duration::rep>(s * 1e6)}; }
 constexpr double to_seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
+// A task of a job.
 struct TaskId {
   JobId job;
   std::uint32_t index = 0;
