--- a/tests/stored_bytes_test.cpp
+++ b/tests/stored_bytes_test.cpp
@@ -400,8 +400,7 @@
 
 std::string job_again(const std::string&, const std::string& bytes) {
   const auto parsed = parse_job(bytes);
-  const auto* spec = std::get_if<JobSpec>(&parsed);
-  return spec != nullptr ? encode_job(*spec).dump() : unreadable;
+  return parsed.has_value() ? encode_job(*parsed).dump() : unreadable;
 }
 
 std::vector<Sample> samples_of_job_rows() {
@@ -632,8 +631,8 @@
   return {{"worker_answer", "", encode_heartbeat_response(FencingToken{41}, orders_of_each_verb())},
           {"worker_answer_without_orders", "", encode_heartbeat_response(FencingToken{41}, {})},
           {"worker_commands", "", encode_command_batch(FencingToken{41}, Incarnation{2}, orders_of_each_verb())},
-          {"worker_misdirected", "", encode_misdirected("10.1.0.3:8080")},
-          {"worker_misdirected_without_a_leader", "", encode_misdirected("")}};
+          {"worker_misdirected", "", encode_redirect("10.1.0.3:8080")},
+          {"worker_misdirected_without_a_leader", "", encode_redirect("")}};
 }
 
 std::vector<Sample> samples_for_the_cloud() {
@@ -644,8 +643,7 @@
 
 std::string why_refused(const json& job) {
   const auto parsed = parse_job(job);
-  const auto* bad = std::get_if<BadJob>(&parsed);
-  return bad != nullptr ? encode_error(bad->why) : "taken";
+  return parsed.has_value() ? "taken" : encode_error(parsed.error().message);
 }
 
 // Why a job waits, as the core words it for its user.
