--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -42,9 +42,9 @@
     state.ResumeTiming();
   }
   state.counters["longest_ms"] = longest * 1000;
-  state.counters["rows"] = static_cast<double>(f.scheduler().last_cycle().jobs);
-  state.counters["columns"] = static_cast<double>(f.scheduler().last_cycle().machines);
-  state.counters["victims"] = static_cast<double>(f.scheduler().last_cycle().preemption_candidates);
+  state.counters["rows"] = static_cast<double>(f.scheduler().last_cycle_size().jobs);
+  state.counters["columns"] = static_cast<double>(f.scheduler().last_cycle_size().machines);
+  state.counters["victims"] = static_cast<double>(f.scheduler().last_cycle_size().preemption_candidates);
 }
 
 // Everything is busy: a round that finds nothing to do but looks for it.
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -23,7 +23,7 @@
 Scheduler::Options Fleet::options() const {
   Scheduler::Options s;
   s.policy = shape_.policy;
-  s.terms = {6, 31, 50, 4, 51};
+  s.timings = {6, 31, 50, 4, 51};
   for (std::size_t t = 0; t < shape_.teams; ++t) {
     s.teams.push_back({team(t), {0, t % 2 == 0 ? 1e6 : 1000, 0}, {0, 1e6, 0}});
   }
--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -211,8 +211,8 @@
     for (const auto& r : f.heartbeats(f.scheduler().machines().size())) f.report(r);
     timed(state, [&] { f.round(); });
   }
-  state.counters["rows"] = static_cast<double>(f.scheduler().last_cycle().jobs);
-  state.counters["columns"] = static_cast<double>(f.scheduler().last_cycle().machines);
+  state.counters["rows"] = static_cast<double>(f.scheduler().last_cycle_size().jobs);
+  state.counters["columns"] = static_cast<double>(f.scheduler().last_cycle_size().machines);
 }
 
 void add_waiting(Fleet& f, std::size_t jobs) {
--- a/scale/cell.cpp
+++ b/scale/cell.cpp
@@ -26,9 +26,9 @@
     : loop_(loop),
       plan_(std::move(plan)),
       random_(plan_.seed + 1),
-      rules_(plan_.terms, plan_.teams),
+      rules_(plan_.timings, plan_.teams),
       workers_{loop,
-               {rules_, plan_.terms,
+               {rules_, plan_.timings,
                 [this](const JobSpec& spec) {
                   // PROTOCOL: give or take a third. All types of a plan fetch alike.
                   return spec.image_gb / plan_.types.front().fetch_gb_per_s * (1 + third * (2 * workers_.roll() - 1));
@@ -44,7 +44,7 @@
       users_(loop, plan_, rules_, balancer_) {}
 
 int Cell::run() {
-  began_ = loop_.refresh();
+  began_ = loop_.update_time();
   cloud_.run();
   for (std::size_t n = 0; n < balancer_.nodes(); ++n) rt::spawn(balancer_.probe(n));
   rt::spawn(ticks());
@@ -58,7 +58,7 @@
   Time next_second = loop_.now() + seconds(1);
   std::size_t started_before = 0;
   for (;;) {
-    const Time began = loop_.refresh();
+    const Time began = loop_.update_time();
     std::vector<stand_ins::WorkerModel*> awake;
     for (const auto& w : cloud_.workers()) {
       if (w->model().gone()) continue;
@@ -78,7 +78,7 @@
       seconds_.push_back({rules_.started() - started_before, rules_.tasks_on_machines()});
       started_before = rules_.started();
     }
-    longest_tick_s_ = std::max(longest_tick_s_, to_seconds(loop_.refresh() - began));
+    longest_tick_s_ = std::max(longest_tick_s_, to_seconds(loop_.update_time() - began));
     co_await loop_.sleep(tick_every);
   }
 }
--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -33,7 +33,7 @@
   traits.type = type.name;
   traits.zone = zone;
   traits.spot = spot;
-  traits.room = type.room;
+  traits.room = type.capacity;
   traits.cache_gb = type.cache_gb;
   workers_.push_back(std::make_unique<HollowWorker>(fleet_, std::move(traits), boots));
   workers_.back()->run();
@@ -42,13 +42,13 @@
 
 void Cloud::run() {
   rt::spawn(server_.serve());
-  const Time now = loop_.refresh();
+  const Time now = loop_.update_time();
   for (const auto& group : plan_.machines) {
     spare_[group.type] = group.spare;
     const auto type = std::ranges::find(plan_.types, group.type, &MachineType::name);
     for (std::size_t i = 0; i < group.count; ++i) {
       // Their first reports spread over an interval, as those of machines that have been up for long.
-      const Time boots = now + seconds(fleet_.roll() * plan_.terms.heartbeat_interval_s);
+      const Time boots = now + seconds(fleet_.roll() * plan_.timings.heartbeat_interval_s);
       add(*type, plan_.zones.at(i % plan_.zones.size()), false, boots);
     }
   }
@@ -107,7 +107,7 @@
 
 rt::Task<rt::HttpResponse> Cloud::handle(rt::HttpMessage request) {
   ++calls_;
-  loop_.refresh();
+  loop_.update_time();
   if (request.target == "/flavors") co_return rt::HttpResponse{200, plan_.flavors, {}, false};
   if (request.target == "/machines/release") co_return release(json::parse(request.body));
   if (request.method == "POST") co_return scale_out(json::parse(request.body));
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -14,9 +14,9 @@
 constexpr std::size_t most_answer = 256 * 1024;
 constexpr std::size_t most_commands = 8;  // connections of controllers at once
 
-rt::HttpServer::Bounds bounds() {
-  rt::HttpServer::Bounds b;
-  b.connections = most_commands;
+rt::HttpServer::Limits bounds() {
+  rt::HttpServer::Limits b;
+  b.max_connections = most_commands;
   return b;
 }
 
@@ -60,7 +60,7 @@
     }
     model_.reported();
     last_heartbeat_at_ = now;
-    route_.next_heartbeat = now + seconds(fleet_.world.terms.heartbeat_interval_s * (0.75 + 0.5 * fleet_.roll()));
+    route_.next_heartbeat = now + seconds(fleet_.world.timings.heartbeat_interval_s * (0.75 + 0.5 * fleet_.roll()));
     const auto incarnation = model_.incarnation();
     std::string body = model_.report();
     ++fleet_.traffic.reports;
@@ -75,7 +75,7 @@
 }
 
 void HollowWorker::take_answer(const rt::HttpResult& result, Time sent, std::uint64_t incarnation) {
-  const Time now = fleet_.loop.refresh();
+  const Time now = fleet_.loop.update_time();
   const bool in_time = result.outcome == rt::Outcome::answered && now - sent <= answer_limit;
   const json body = in_time ? json::parse(result.body, nullptr, false) : json{};
   fleet_.traffic.answer_bytes += result.body.size();
@@ -86,7 +86,7 @@
 }
 
 rt::Task<rt::HttpResponse> HollowWorker::serve(rt::HttpMessage request) {
-  const Time now = fleet_.loop.refresh();
+  const Time now = fleet_.loop.update_time();
   if (!model_.up(now) || cut()) {
     co_await fleet_.loop.sleep(answer_limit);
     co_return rt::HttpResponse{503, "{}", {}, true};
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -112,8 +112,8 @@
     p.controllers.push_back({value<std::string>(c, "name"), value<std::string>(c, "users")});
   }
   const auto w = value<json>(plan, "workers");
-  p.terms = {value<double>(w, "report_s"), value<double>(w, "lease_s"), value<double>(w, "gang_wait_s"),
-             value<double>(w, "gang_peer_s"), value<double>(w, "cancel_s")};
+  p.timings = {value<double>(w, "report_s"), value<double>(w, "lease_s"), value<double>(w, "gang_wait_s"),
+               value<double>(w, "gang_peer_s"), value<double>(w, "cancel_s")};
   p.flavors = value<json>(plan, "flavors").dump();
   const auto types = wire::parse_types(p.flavors);
   if (!types) throw PlanError("plan: 'flavors' cannot be read");
--- a/scale/plan.hpp
+++ b/scale/plan.hpp
@@ -62,7 +62,7 @@
 struct CellPlan {
   std::string cloud_listen, result;
   std::vector<ControllerAddress> controllers;
-  WorkerTerms terms;
+  WorkerTimings timings;
   std::string flavors;  // as the cloud answers
   std::vector<MachineType> types;
   std::vector<std::string> zones;
--- a/scale/store_server.cpp
+++ b/scale/store_server.cpp
@@ -9,9 +9,9 @@
 constexpr Duration tick_every = seconds(0.05);
 constexpr std::size_t most_connections = 4000;
 
-rt::HttpServer::Bounds bounds() {
-  rt::HttpServer::Bounds b;
-  b.connections = most_connections;
+rt::HttpServer::Limits bounds() {
+  rt::HttpServer::Limits b;
+  b.max_connections = most_connections;
   return b;
 }
 
@@ -38,7 +38,7 @@
 rt::Task<void> StoreServer::ticks() {
   for (;;) {
     const auto before = model_.changes();
-    model_.tick(loop_.refresh());
+    model_.tick(loop_.update_time());
     if (model_.changes() != before) changed_.notify();
     co_await loop_.sleep(tick_every);
   }
@@ -47,14 +47,14 @@
 rt::Task<rt::HttpResponse> StoreServer::handle(rt::HttpMessage request) {
   ++counts_.requests;
   counts_.bytes_in += request.body.size();
-  if (!model_.takes_request(loop_.refresh())) {
+  if (!model_.takes_request(loop_.update_time())) {
     ++counts_.refused;
     co_return refusal();
   }
   if (plan_.latency > Duration{0}) co_await loop_.sleep(plan_.latency);
   if (request.target.starts_with("/watch")) co_return co_await watch(std::move(request.target));
   if (request.target != "/multi") {
-    auto reply = model_.answer(request.method, request.target, request.body, loop_.refresh());
+    auto reply = model_.answer(request.method, request.target, request.body, loop_.update_time());
     counts_.bytes_out += reply.body.size();
     co_return rt::HttpResponse{reply.status, std::move(reply.body), {}, false};
   }
@@ -63,7 +63,7 @@
     ++counts_.refused;
     co_return refusal();
   }
-  auto reply = model_.commit(txn, loop_.refresh());
+  auto reply = model_.commit(txn, loop_.update_time());
   if (!txn.at("then").empty()) ++(reply.status == 200 ? counts_.transactions : counts_.conflicts);
   changed_.notify();
   co_return rt::HttpResponse{reply.status, std::move(reply.body), {}, false};
@@ -88,7 +88,7 @@
                         {"bytes_in", counts_.bytes_in},         {"bytes_out", counts_.bytes_out}};
     co_return rt::HttpResponse{200, counters.dump(), {}, false};
   }
-  auto reply = model_.answer(request.method, request.target, request.body, loop_.refresh());
+  auto reply = model_.answer(request.method, request.target, request.body, loop_.update_time());
   co_return rt::HttpResponse{reply.status, std::move(reply.body), {}, false};
 }
 
--- a/src/config/configuration_document.cpp
+++ b/src/config/configuration_document.cpp
@@ -13,12 +13,12 @@
 
 constexpr const char* teams_field = "teams";
 constexpr const char* properties_field = "properties";
-constexpr std::size_t longest_name = 200;
+constexpr std::size_t max_name_bytes = 200;
 
 struct TeamField {
   const char* name;
   double Resources::*amount;
-  Resources Team::*of;
+  Resources Team::*resources;
 };
 constexpr std::array<TeamField, 4> team_fields{{{"cpus", &Resources::cpus, &Team::guarantee},
                                                 {"gpus", &Resources::gpus, &Team::guarantee},
@@ -29,16 +29,16 @@
   throw SettingsError("configuration: field '" + field + "' " + what);
 }
 
-double amount(const json& value, const std::string& field) {
+double parse_amount(const json& value, const std::string& field) {
   if (!value.is_number()) fail(field, "must be a number");
   const auto n = value.get<double>();
   if (!std::isfinite(n) || n < 0) fail(field, "must not be negative");
   return n;
 }
 
-Team team_of(const std::string& name, const json& value) {
+Team parse_team(const std::string& name, const json& value) {
   const std::string field = std::string{teams_field} + "." + name;
-  if (name.empty() || name.size() > longest_name) fail(teams_field, "names a team of no or too many letters");
+  if (name.empty() || name.size() > max_name_bytes) fail(teams_field, "names a team of no or too many letters");
   if (!value.is_object()) fail(field, "must be an object");
   Team team;
   team.name = name;
@@ -46,36 +46,36 @@
     const auto known = std::ranges::find(team_fields, std::string_view{key}, &TeamField::name);
     const std::string path = std::string{field}.append(".").append(key);
     if (known == team_fields.end()) fail(path, "is not known");
-    (team.*known->of).*known->amount = amount(n, path);
+    (team.*known->resources).*known->amount = parse_amount(n, path);
   }
   return team;
 }
 
 }  // namespace
 
-bool changes_in_flight(const std::string& property) {
+bool changes_at_runtime(const std::string& property) {
   return property.starts_with("scheduler.") || property.starts_with("fleet.");
 }
 
 json teams_document(const std::vector<Team>& teams) {
   json out = json::object();
   for (const auto& team : teams) {
-    for (const auto& f : team_fields) out[team.name][f.name] = (team.*f.of).*f.amount;
+    for (const auto& f : team_fields) out[team.name][f.name] = (team.*f.resources).*f.amount;
   }
   return out;
 }
 
-json patched(const json& document, const json& patch, const Settings& settings) {
+json apply_patch(const json& document, const json& patch, const Settings& settings) {
   json out = document.is_object() ? document : json::object();
-  const bool first_teams = patch.is_object() && patch.contains(teams_field) && patch.at(teams_field).is_object() &&
-                           !out.contains(teams_field);
-  if (first_teams) out[teams_field] = teams_document(settings.teams);
+  const bool adds_first_teams = patch.is_object() && patch.contains(teams_field) && patch.at(teams_field).is_object() &&
+                                !out.contains(teams_field);
+  if (adds_first_teams) out[teams_field] = teams_document(settings.teams);
   out.merge_patch(patch);
   return out;
 }
 
-Configuration configuration_of(ConfigurationVersion version, const json& document, const Settings& settings,
-                               const Policy& files) {
+Configuration resolve_configuration(ConfigurationVersion version, const json& document, const Settings& settings,
+                                    const Policy& files) {
   if (!document.is_object()) throw SettingsError("configuration: must be an object");
   Configuration out{version, settings.teams, files};
   for (const auto& [key, value] : document.items()) {
@@ -84,13 +84,13 @@
   }
   if (document.contains(teams_field)) {
     out.teams.clear();
-    for (const auto& [name, value] : document.at(teams_field).items()) out.teams.push_back(team_of(name, value));
+    for (const auto& [name, value] : document.at(teams_field).items()) out.teams.push_back(parse_team(name, value));
   }
   if (document.contains(properties_field)) {
     for (const auto& [name, value] : document.at(properties_field).items()) {
       const std::string field = std::string{properties_field} + "." + name;
-      if (!changes_in_flight(name)) fail(field, "does not change while the service runs");
-      set_property(name, amount(value, field), out.policy);
+      if (!changes_at_runtime(name)) fail(field, "does not change while the service runs");
+      set_property(name, parse_amount(value, field), out.policy);
     }
   }
   check(settings, out.policy);
--- a/src/config/configuration_document.hpp
+++ b/src/config/configuration_document.hpp
@@ -17,15 +17,15 @@
 namespace martenwall::config {
 
 // Whether a property may change while the service runs: what scheduler and fleet weigh by.
-bool changes_in_flight(const std::string& property);
+bool changes_at_runtime(const std::string& property);
 
 // The document with the patch applied. A patch that names teams begins with those of the settings where the document
 // has none of its own.
-nlohmann::json patched(const nlohmann::json& document, const nlohmann::json& patch, const Settings& settings);
+nlohmann::json apply_patch(const nlohmann::json& document, const nlohmann::json& patch, const Settings& settings);
 
 // What the document means beside a node's own files. Throws SettingsError, which names the field.
-Configuration configuration_of(ConfigurationVersion version, const nlohmann::json& document, const Settings& settings,
-                               const Policy& files);
+Configuration resolve_configuration(ConfigurationVersion version, const nlohmann::json& document,
+                                    const Settings& settings, const Policy& files);
 
 // The document in which all of a configuration's teams stand, for operators to read.
 nlohmann::json teams_document(const std::vector<Team>& teams);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -26,25 +26,25 @@
   Reader(const json& value, std::string path) : value_(value), path_(std::move(path)) {
     if (!value_.is_object()) throw SettingsError("settings: '" + path_ + "' must be an object");
   }
-  [[nodiscard]] Reader object(const char* name) const { return {get(name), full(name)}; }
+  [[nodiscard]] Reader object(const char* name) const { return {get(name), path_of(name)}; }
   [[nodiscard]] std::string text(const char* name) const {
     const auto& v = get(name);
     if (!v.is_string() || v.get_ref<const std::string&>().empty()) fail(name, "a non-empty string");
     return v.get<std::string>();
   }
-  [[nodiscard]] double number(const char* name, double least) const {
+  [[nodiscard]] double number(const char* name, double min_value) const {
     const auto& v = get(name);
     if (!v.is_number()) fail(name, "a number");
     const auto d = v.get<double>();
-    if (!std::isfinite(d) || d < least) fail(name, "a number of at least " + std::to_string(least));
+    if (!std::isfinite(d) || d < min_value) fail(name, "a number of at least " + std::to_string(min_value));
     return d;
   }
   [[nodiscard]] double number_or(const char* name, double fallback) const {
     return has(name) ? number(name, 0) : fallback;
   }
   [[nodiscard]] bool has(const char* name) const { return value_.contains(name) && !value_.at(name).is_null(); }
-  [[nodiscard]] std::size_t count(const char* name, std::size_t least) const {
-    return static_cast<std::size_t>(number(name, static_cast<double>(least)));
+  [[nodiscard]] std::size_t count(const char* name, std::size_t min_value) const {
+    return static_cast<std::size_t>(number(name, static_cast<double>(min_value)));
   }
   [[nodiscard]] std::string address(const char* name) const {
     auto t = text(name);
@@ -56,7 +56,7 @@
     if (!v.is_array()) fail(name, "a list");
     std::vector<Reader> out;
     for (std::size_t i = 0; i < v.size(); ++i) {
-      out.emplace_back(v.at(i), full(name) + "[" + std::to_string(i) + "]");
+      out.emplace_back(v.at(i), path_of(name) + "[" + std::to_string(i) + "]");
     }
     return out;
   }
@@ -65,20 +65,20 @@
   }
 
  private:
-  [[nodiscard]] std::string full(const char* name) const { return path_.empty() ? name : path_ + "." + name; }
+  [[nodiscard]] std::string path_of(const char* name) const { return path_.empty() ? name : path_ + "." + name; }
   [[nodiscard]] const json& get(const char* name) const {
     const auto it = value_.find(name);
-    if (it == value_.end()) throw SettingsError("settings: field '" + full(name) + "' is missing");
+    if (it == value_.end()) throw SettingsError("settings: field '" + path_of(name) + "' is missing");
     return *it;
   }
   [[noreturn]] void fail(const char* name, const std::string& what) const {
-    throw SettingsError("settings: field '" + full(name) + "' must be " + what);
+    throw SettingsError("settings: field '" + path_of(name) + "' must be " + what);
   }
   const json& value_;
   std::string path_;
 };
 
-void read_facts(const Reader& facts, Settings& s) {
+void read_platform_facts(const Reader& facts, Settings& s) {
   for (const auto& t : facts.list("teams")) {
     s.teams.push_back({t.text("name"),
                        {t.number_or("cpus", 0), t.number_or("gpus", 0), 0},
@@ -98,16 +98,16 @@
   s.state_txn_ops = state.count("txn_ops", 4);
   if (state.has("next")) {
     const auto next = state.object("next");
-    Settings::NextLimits n;
+    Settings::UpcomingLimits n;
     if (next.has("rps")) n.rps = next.number("rps", 1);
     if (next.has("write_rps")) n.write_rps = next.number("write_rps", 1);
     if (next.has("value_kb")) n.value_bytes = static_cast<std::size_t>(next.number("value_kb", 1) * 1024);
     if (next.has("txn_ops")) n.txn_ops = next.count("txn_ops", 4);
-    s.state_next = n;
+    s.upcoming_state_limits = n;
   }
   const auto cloud = facts.object("cloud");
   s.cloud_rps = cloud.number("rps", 0.01);
-  s.cloud_lag = seconds(cloud.number("list_lag_s", 0));
+  s.cloud_list_lag = seconds(cloud.number("list_lag_s", 0));
   s.max_connections = facts.object("resources").count("max_connections", 32);
 }
 
@@ -128,7 +128,7 @@
   const auto external = root.object("external");
   s.cloud = external.address("cloud");
   s.state = external.address("state");
-  read_facts(root.object("facts"), s);
+  read_platform_facts(root.object("facts"), s);
   return s;
 }
 
@@ -151,27 +151,27 @@
   std::map<std::string, Setter> out{
       {"scheduler.round.seconds", duration(p.cycle_interval)},
       {"scheduler.limits.leave", [&p](double v) { p.reserve_limit_headroom = v != 0; }},
-      {"scheduler.unsaved.stops", [&p](double v) { p.unsaved_stops = v != 0; }},
+      {"scheduler.unsaved.stops", [&p](double v) { p.allow_unsaved_stops = v != 0; }},
       {"scheduler.direct.starts", [&p](double v) { p.direct_starts = v != 0; }},
       {"scheduler.error.limit", count(p.error_limit)},
       {"scheduler.suspect.machines", count(p.suspect_machines)},
       {"scheduler.shortage.efficiency", number(p.shortage_efficiency)},
       {"fleet.idle.seconds", duration(p.idle_release)},
-      {"fleet.quiet.after.seconds", duration(p.quiet_after)},
-      {"fleet.quiet.idle.seconds", duration(p.quiet_release)},
+      {"fleet.quiet.after.seconds", duration(p.quiet_period)},
+      {"fleet.quiet.idle.seconds", duration(p.quiet_idle_release)},
       {"fleet.warm.machines", count(p.warm_machines)},
       {"fleet.reserve.deviations", number(p.reserve_deviations)},
       {"fleet.surplus.idle.seconds", duration(p.surplus_release)},
-      {"fleet.boot.patience", number(p.boot_patience)},
+      {"fleet.boot.patience", number(p.boot_timeout_factor)},
       {"fleet.capacity.retry.seconds", duration(p.capacity_retry)},
-      {"fleet.lost.patience.seconds", duration(p.lost_patience)},
-      {"fleet.guest.patience.seconds", duration(p.best_effort_spot_patience)},
-      {"fleet.guest.patience.without.spot.seconds", duration(p.best_effort_spot_patience_without_spot)},
+      {"fleet.lost.patience.seconds", duration(p.lost_timeout)},
+      {"fleet.guest.patience.seconds", duration(p.best_effort_spot_wait)},
+      {"fleet.guest.patience.without.spot.seconds", duration(p.best_effort_spot_wait_without_spot)},
       {"metrics.port", count(p.metrics_port)},
       {"workers.relay", [&p](double v) { p.relay_heartbeats = v != 0; }},
       {"workers.relay.leader.weight", number(p.relay_leader_weight)},
       {"leader.lease.seconds", duration(p.lease_ttl)},
-      {"leader.renew.seconds", duration(p.renew_every)}};
+      {"leader.renew.seconds", duration(p.renew_interval)}};
   for (const auto& h : heuristic_table()) {
     for (const auto& w : h.weights) out.emplace(w.property, number(p.*w.value));
   }
@@ -206,7 +206,7 @@
 
 void check(const Settings& settings, const Policy& policy) {
   if (policy.lease_ttl < seconds(0.1)) throw SettingsError("properties: 'leader.lease.seconds' must be at least 0.1");
-  if (policy.renew_every * 2 > policy.lease_ttl) {
+  if (policy.renew_interval * 2 > policy.lease_ttl) {
     throw SettingsError("properties: 'leader.renew.seconds' must be at most half of 'leader.lease.seconds'");
   }
   if (policy.cycle_interval < seconds(0.05))
@@ -217,7 +217,7 @@
   }
   if (policy.suspect_machines < 1) throw SettingsError("properties: 'scheduler.suspect.machines' must be at least 1");
   const auto& w = settings.workers;
-  if (w.cancel_s <= w.lease_s + to_seconds(policy.lease_ttl + policy.margin) + 1) {
+  if (w.cancel_s <= w.lease_s + to_seconds(policy.lease_ttl + policy.lease_margin) + 1) {
     throw SettingsError(
         "settings: field 'facts.workers.cancel_s' must exceed lease_s plus the leader's lease and margin");
   }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -19,7 +19,7 @@
 struct Objective {
   std::string kind, job_class;
   double within_s = 0, share = 0;
-  double times = 1;  // of the deadline, for the kind `deadline`
+  double deadline_factor = 1;  // of the deadline, for the kind `deadline`
 };
 
 // The settings file of one node; rates are per second.
@@ -28,17 +28,17 @@
   std::vector<Peer> peers;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  WorkerTerms workers;
+  WorkerTimings workers;
   double state_rps = 100, state_write_rps = 40;
   std::size_t state_value_bytes = 8 * 1024, state_txn_ops = 24;
   // What the state service will allow from some moment on; what is not said of it stays as it is.
-  struct NextLimits {
+  struct UpcomingLimits {
     std::optional<double> rps, write_rps;
     std::optional<std::size_t> value_bytes, txn_ops;
   };
-  std::optional<NextLimits> state_next;
+  std::optional<UpcomingLimits> upcoming_state_limits;
   double cloud_rps = 2;
-  Duration cloud_lag = seconds(3);
+  Duration cloud_list_lag = seconds(3);
   std::size_t max_connections = 1000;
 };
 
--- a/src/core/capacity/scale_out_planner.cpp
+++ b/src/core/capacity/scale_out_planner.cpp
@@ -18,40 +18,40 @@
   double cost = 0;
 };
 
-constexpr Duration kept_for_a_job = seconds(2);  // the fleet is planned more often than that
-constexpr std::uint32_t most_per_request = 50;   // PROTOCOL's bound
+constexpr Duration idle_hold = seconds(2);              // the fleet is planned more often than that
+constexpr std::uint32_t max_machines_per_request = 50;  // PROTOCOL's bound
 
 class Planner {
  public:
   Planner(const FleetView& view, const std::vector<Demand>& demands)
-      : view_(view), per_zone_(view.per_zone), pool_(view.forecast) {
-    for (const auto& d : demands) least_ = least_.least(d.spec->need);
-    for (std::size_t i = 0; i < pool_.size(); ++i) enter(i);
+      : view_(view), machines_by_zone_(view.machines_by_zone), pool_(view.forecast) {
+    for (const auto& d : demands) min_need_ = min_need_.component_min(d.spec->need);
+    for (std::size_t i = 0; i < pool_.size(); ++i) index_pool_entry(i);
   }
 
   void serve(const Demand& d) {
     d.job->capacity_expected_at.reset();
     allowed_ = allowed_kinds(*d.spec, kinds_);
-    in_zone_ = d.in_zone;
+    tasks_by_zone_ = d.tasks_by_zone;
     if (d.spec->kind == JobKind::gang && d.spec->one_zone && d.zone.empty()) return serve_in_one_zone(d);
     serve_in(d, d.zone);
   }
 
   [[nodiscard]] std::vector<ScaleOutRequest> requests() const {
-    std::map<CapacityMemory::Place, std::uint32_t> counts;
+    std::map<CapacityRefusals::Location, std::uint32_t> counts;
     // In the order in which the demands were served: what the most urgent one wants goes first.
-    std::vector<CapacityMemory::Place> places;
+    std::vector<CapacityRefusals::Location> locations;
     for (const auto& v : pool_) {
-      if (!v.to_hire) continue;
-      const auto& place = places.emplace_back(v.type->name, v.zone, v.spot);
-      if (++counts[place] > 1) places.pop_back();
+      if (!v.to_rent) continue;
+      const auto& location = locations.emplace_back(v.type->name, v.zone, v.spot);
+      if (++counts[location] > 1) locations.pop_back();
     }
     std::vector<ScaleOutRequest> out;
-    for (const auto& place : places) {
-      const auto wanted = counts.at(place);
-      const auto& [type, zone, spot] = place;
-      for (auto left = wanted; left > 0; left -= std::min(left, most_per_request)) {
-        out.push_back({{}, type, zone, spot, std::min(left, most_per_request)});
+    for (const auto& location : locations) {
+      const auto wanted = counts.at(location);
+      const auto& [type, zone, spot] = location;
+      for (auto left = wanted; left > 0; left -= std::min(left, max_machines_per_request)) {
+        out.push_back({{}, type, zone, spot, std::min(left, max_machines_per_request)});
       }
     }
     return out;
@@ -62,26 +62,26 @@
     std::uint32_t left = d.count;
     Time ready = view_.now;
     std::size_t exhausted = 0;
-    for (const auto i : open_) {
+    for (const auto i : usable_) {
       if (left == 0) break;
       auto& v = pool_[i];
       if (!allows(*d.spec, i, zone) || (d.spot_only && !v.spot)) continue;
       const auto n = fill(*d.spec, v, left);
       if (n > 0) ready = std::max(ready, v.ready);
-      if (n > 0 && v.idle != nullptr) v.idle->keep_until = view_.now + kept_for_a_job;
-      if (n > 0 && !least_.fits_in(v.room)) ++exhausted;
+      if (n > 0 && v.idle != nullptr) v.idle->keep_until = view_.now + idle_hold;
+      if (n > 0 && !min_need_.fits_in(v.free)) ++exhausted;
       left -= n;
     }
-    if (exhausted > 0) std::erase_if(open_, [&](std::size_t i) { return !least_.fits_in(pool_[i].room); });
+    if (exhausted > 0) std::erase_if(usable_, [&](std::size_t i) { return !min_need_.fits_in(pool_[i].free); });
     while (left > 0) {
       const auto offer = best_offer(*d.spec, zone, d.spot_only);
       if (!offer) return;
-      ++per_zone_[offer->zone];
-      const Time up = view_.now + seconds(offer->type->boot_s * usual_boot);
-      ready = std::max(ready, up);
-      pool_.push_back({offer->type, offer->zone, offer->spot, offer->type->room, up, true});
+      ++machines_by_zone_[offer->zone];
+      const Time boot_done = view_.now + seconds(offer->type->boot_s * boot_time_factor);
+      ready = std::max(ready, boot_done);
+      pool_.push_back({offer->type, offer->zone, offer->spot, offer->type->capacity, boot_done, true});
       const auto placed = fill(*d.spec, pool_.back(), left);
-      enter(pool_.size() - 1);
+      index_pool_entry(pool_.size() - 1);
       if (placed == 0) return;
       left -= placed;
     }
@@ -95,14 +95,14 @@
     const std::string* best = nullptr;
     std::pair<std::uint32_t, double> best_cost;
     for (const auto& zone : zones) {
-      std::uint32_t there = 0;
-      for (const auto i : open_) {
-        if (there == d.count) break;
-        if (allows(*d.spec, i, zone) && d.spec->need.fits_in(pool_[i].room)) ++there;
+      std::uint32_t placeable = 0;
+      for (const auto i : usable_) {
+        if (placeable == d.count) break;
+        if (allows(*d.spec, i, zone) && d.spec->need.fits_in(pool_[i].free)) ++placeable;
       }
       const auto offer = best_offer(*d.spec, zone, d.spot_only);
-      if (!offer && there < d.count) continue;
-      const std::pair cost{d.count - there, offer ? offer->cost : 0.0};
+      if (!offer && placeable < d.count) continue;
+      const std::pair cost{d.count - placeable, offer ? offer->cost : 0.0};
       if (best == nullptr || cost < best_cost) {
         best = &zone;
         best_cost = cost;
@@ -113,28 +113,28 @@
 
   // Of a demand that is being served: what it allows was looked up for all kinds that were there.
   bool allows(const JobSpec& spec, std::size_t i, const std::string& zone) {
-    const auto kind = kind_[i];
+    const auto kind = pool_kinds_[i];
     if (kind >= allowed_.size()) allowed_ = allowed_kinds(spec, kinds_);
     return allowed_[kind] != 0 && (zone.empty() || kinds_[kind].zone == zone);
   }
-  void enter(std::size_t i) {
+  void index_pool_entry(std::size_t i) {
     const auto& v = pool_[i];
-    kind_.push_back(kind_of(kinds_, *v.type, v.zone, v.spot));
-    if (least_.fits_in(v.room)) open_.push_back(i);
+    pool_kinds_.push_back(find_or_add_kind(kinds_, *v.type, v.zone, v.spot));
+    if (min_need_.fits_in(v.free)) usable_.push_back(i);
   }
   // A zone that has its half of a job that is to be spread is no room for the rest of it, however many machines idle
   // there: such a job waited for ever, with machines kept for it and none hired in another zone.
-  [[nodiscard]] std::uint32_t room_in(const JobSpec& spec, const std::string& zone) const {
+  [[nodiscard]] std::uint32_t zone_capacity(const JobSpec& spec, const std::string& zone) const {
     if (!spec.spread) return spec.tasks;
-    const auto it = in_zone_.find(zone);
-    const auto there = it == in_zone_.end() ? 0 : it->second;
-    return (spec.tasks + 1) / 2 - std::min(there, (spec.tasks + 1) / 2);
+    const auto it = tasks_by_zone_.find(zone);
+    const auto placed_there = it == tasks_by_zone_.end() ? 0 : it->second;
+    return (spec.tasks + 1) / 2 - std::min(placed_there, (spec.tasks + 1) / 2);
   }
-  std::uint32_t fill(const JobSpec& spec, CapacityForecast& v, std::uint32_t most) {
-    const auto limit = std::min(most, room_in(spec, v.zone));
+  std::uint32_t fill(const JobSpec& spec, CapacityForecast& v, std::uint32_t max_tasks) {
+    const auto limit = std::min(max_tasks, zone_capacity(spec, v.zone));
     std::uint32_t n = 0;
-    for (; n < limit && spec.need.fits_in(v.room); ++n) v.room.add(spec.need, -1);
-    if (spec.spread) in_zone_[v.zone] += n;
+    for (; n < limit && spec.need.fits_in(v.free); ++n) v.free.add(spec.need, -1);
+    if (spec.spread) tasks_by_zone_[v.zone] += n;
     return n;
   }
 
@@ -143,15 +143,15 @@
     for (const auto& type : view_.types) {
       if (!type_allows(spec, type)) continue;
       for (const auto& z : type.zones) {
-        if ((!zone.empty() && z != zone) || room_in(spec, z) == 0) continue;
+        if ((!zone.empty() && z != zone) || zone_capacity(spec, z) == 0) continue;
         for (const bool spot : {true, false}) {
-          if ((spot_only && !spot) || !place_allows(spec, z, spot) ||
-              !view_.capacity.open(type.name, z, spot, view_.now))
+          if ((spot_only && !spot) || !location_allows(spec, z, spot) ||
+              !view_.capacity.is_available(type.name, z, spot, view_.now))
             continue;
-          const auto it = per_zone_.find(z);
+          const auto it = machines_by_zone_.find(z);
           // Cheapest first; among equals the zone with fewest machines, so that one zone's loss hurts less.
-          const double crowd = it == per_zone_.end() ? 0 : it->second;
-          const double cost = (spot ? type.spot_price : type.price) * (1 + 0.002 * crowd);
+          const double machines_in_zone = it == machines_by_zone_.end() ? 0 : it->second;
+          const double cost = (spot ? type.spot_price : type.price) * (1 + 0.002 * machines_in_zone);
           if (!best || cost < best->cost) best = Offer{&type, z, spot, cost};
         }
       }
@@ -160,27 +160,27 @@
   }
 
   const FleetView& view_;
-  std::map<std::string, std::uint32_t> per_zone_;
+  std::map<std::string, std::uint32_t> machines_by_zone_;
   std::vector<CapacityForecast> pool_;
   std::vector<MachineKind> kinds_;
-  std::vector<std::size_t> kind_;  // of each in the pool
-  std::vector<std::size_t> open_;  // those in the pool with room for the smallest need of all, in its order
-  std::vector<char> allowed_;      // by kind, for the demand that is being served
-  std::map<std::string, std::uint32_t> in_zone_;  // its tasks, if it is to be spread
-  Resources least_{1e18, 1e18, 1e18};
+  std::vector<std::size_t> pool_kinds_;  // of each in the pool
+  std::vector<std::size_t> usable_;      // those in the pool with room for the smallest need of all, in its order
+  std::vector<char> allowed_;            // by kind, for the demand that is being served
+  std::map<std::string, std::uint32_t> tasks_by_zone_;  // its tasks, if it is to be spread
+  Resources min_need_{1e18, 1e18, 1e18};
 };
 
 }  // namespace
 
 void LoadHistory::add(double busy) {
   samples_.push_back(busy);
-  if (samples_.size() > kept) samples_.pop_front();
+  if (samples_.size() > max_samples) samples_.pop_front();
 }
 
 double LoadHistory::reserve(std::size_t horizon, double deviations) const {
   if (samples_.empty()) return 0;
-  const double by_chance = deviations * std::sqrt(*std::ranges::max_element(samples_));
-  if (samples_.size() <= horizon + 1) return std::max(by_chance, samples_.back());  // too early to tell more
+  const double random_growth = deviations * std::sqrt(*std::ranges::max_element(samples_));
+  if (samples_.size() <= horizon + 1) return std::max(random_growth, samples_.back());  // too early to tell more
   double sum = 0;
   double sum_of_squares = 0;
   const std::size_t n = samples_.size() - horizon;
@@ -191,7 +191,7 @@
   }
   const double mean = sum / static_cast<double>(n);
   const double variance = std::max(0.0, sum_of_squares / static_cast<double>(n) - mean * mean);
-  return std::max(by_chance, std::min(mean, 0.0) + deviations * std::sqrt(variance));
+  return std::max(random_growth, std::min(mean, 0.0) + deviations * std::sqrt(variance));
 }
 
 std::vector<ScaleOutRequest> pack_scale_out_requests(const FleetView& view, const std::vector<Demand>& demands) {
--- a/src/core/capacity/scale_out_planner.hpp
+++ b/src/core/capacity/scale_out_planner.hpp
@@ -11,7 +11,7 @@
 
 namespace martenwall {
 
-constexpr double usual_boot = 1.25;  // times the nominal boot time within which most machines are up
+constexpr double boot_time_factor = 1.25;  // times the nominal boot time within which most machines are up
 
 // Machines to be rented: one kind in one zone.
 struct ScaleOutRequest {
@@ -22,10 +22,10 @@
 };
 
 // Where the cloud refused lately: type, zone, kind.
-struct CapacityMemory {
-  using Place = std::tuple<std::string, std::string, bool>;
-  std::map<Place, Time> refused_until;
-  [[nodiscard]] bool open(const std::string& type, const std::string& zone, bool spot, Time now) const {
+struct CapacityRefusals {
+  using Location = std::tuple<std::string, std::string, bool>;
+  std::map<Location, Time> refused_until;
+  [[nodiscard]] bool is_available(const std::string& type, const std::string& zone, bool spot, Time now) const {
     const auto it = refused_until.find({type, zone, spot});
     return it == refused_until.end() || it->second <= now;
   }
@@ -38,7 +38,7 @@
   std::uint32_t count = 0;  // tasks without room; a gang's all or none
   std::string zone;         // where the job's other tasks bind it, or empty
   bool spot_only = false;
-  std::map<std::string, std::uint32_t> in_zone{};  // of a job that is to be spread: its other tasks
+  std::map<std::string, std::uint32_t> tasks_by_zone{};  // of a job that is to be spread: its other tasks
 };
 
 // Room that is there or on its way: free machines, booting ones, those asked for.
@@ -46,9 +46,9 @@
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
-  Resources room;
+  Resources free;
   Time ready{};  // when it is expected to take starts
-  bool to_hire = false;
+  bool to_rent = false;
   Machine* idle = nullptr;  // up and empty: kept as long as a job that waits counts on it
 };
 
@@ -57,8 +57,8 @@
   Time now{};
   const Policy& policy;
   const std::vector<MachineType>& types;
-  const CapacityMemory& capacity;
-  std::map<std::string, std::uint32_t> per_zone;  // machines there now, to spread over zones
+  const CapacityRefusals& capacity;
+  std::map<std::string, std::uint32_t> machines_by_zone;  // machines there now, to spread over zones
   std::vector<CapacityForecast> forecast;
 };
 
@@ -73,7 +73,7 @@
   [[nodiscard]] double reserve(std::size_t horizon, double deviations) const;
 
  private:
-  static constexpr std::size_t kept = 150;
+  static constexpr std::size_t max_samples = 150;
   std::deque<double> samples_;
 };
 
--- a/src/core/leadership/leadership.hpp
+++ b/src/core/leadership/leadership.hpp
@@ -20,7 +20,7 @@
 // The role, the fencing token and until when the lease is valid.
 class Leadership {
  public:
-  Leadership(const Policy& policy, const WorkerTerms& terms);
+  Leadership(const Policy& policy, const WorkerTimings& timings);
 
   // The grace D: lease TTL + D + worker lease + margin stays below cancel_s, so that a
   // cancellation which this node cannot see still takes effect in time.
@@ -46,7 +46,7 @@
   [[nodiscard]] Time valid_until() const { return valid_until_; }
 
  private:
-  void enter(LeaderState next);
+  void transition_to(LeaderState next);
   LeaderState state_ = LeaderState::follower;
   Duration ttl_;
   Duration grace_;
--- a/src/core/leadership/retry_after.cpp
+++ b/src/core/leadership/retry_after.cpp
@@ -5,16 +5,16 @@
 
 namespace martenwall {
 
-RetryAfterPacer::RetryAfterPacer(double per_second, int most_s)
-    : per_second_(std::max(1.0, per_second)), most_s_(std::max(1, most_s)) {}
+RetryAfterPacer::RetryAfterPacer(double per_second, int max_s)
+    : per_second_(std::max(1.0, per_second)), max_s_(std::max(1, max_s)) {}
 
 int RetryAfterPacer::next(Time now) {
-  const double passed = std::max(0.0, to_seconds(now - at_));
-  at_ = std::max(at_, now);
-  waiting_ = std::max(0.0, waiting_ - passed * per_second_);
-  const auto second = static_cast<int>(std::fmod(std::floor(waiting_ / per_second_), most_s_));
+  const double elapsed_s = std::max(0.0, to_seconds(now - updated_at_));
+  updated_at_ = std::max(updated_at_, now);
+  waiting_ = std::max(0.0, waiting_ - elapsed_s * per_second_);
+  const auto second = static_cast<int>(std::fmod(std::floor(waiting_ / per_second_), max_s_));
   // Beyond twice what the longest time takes, the count would only lengthen the time until it is forgotten.
-  waiting_ = std::min(waiting_ + 1, 2 * per_second_ * most_s_);
+  waiting_ = std::min(waiting_ + 1, 2 * per_second_ * max_s_);
   return 1 + second;
 }
 
--- a/src/core/leadership/retry_after.hpp
+++ b/src/core/leadership/retry_after.hpp
@@ -8,7 +8,7 @@
 class RetryAfterPacer {
  public:
   // `per_second`: requests that this node can take beside new ones. `most_s`: no user is sent away for longer.
-  RetryAfterPacer(double per_second, int most_s);
+  RetryAfterPacer(double per_second, int max_s);
   // For one more refused request: whole seconds, 1 to `most_s`. Each gets the first second that is not full yet; where
   // all are, they are shared out evenly.
   int next(Time now);
@@ -17,9 +17,9 @@
 
  private:
   double per_second_;
-  int most_s_;
+  int max_s_;
   double waiting_ = 0;
-  Time at_{};
+  Time updated_at_{};
 };
 
 }  // namespace martenwall
--- a/src/core/messages.hpp
+++ b/src/core/messages.hpp
@@ -119,7 +119,7 @@
     std::string zone;
   };
   std::vector<PlacedTask> placed;
-  std::uint32_t failed = 0;  // machines that the job failed on while nothing of it was done
+  std::uint32_t failed_machines = 0;  // machines that the job failed on while nothing of it was done
 };
 
 // A row of the store that is to be written; what is not set is removed.
--- a/src/core/model/configuration.cpp
+++ b/src/core/model/configuration.cpp
@@ -21,21 +21,21 @@
 }
 
 // Once followed it stays so: a configuration is never taken away.
-void ConfigurationValidity::enter(ConfigurationState next) {
+void ConfigurationValidity::transition_to(ConfigurationState next) {
   if (state_ != ConfigurationState::followed) state_ = next;
 }
 
-void ConfigurationValidity::found_none(Time sent, bool none_can_come) {
+void ConfigurationValidity::on_none_found(Time sent, bool creation_excluded) {
   confirmed_ = std::max(confirmed_.value_or(sent), sent);
-  if (none_can_come) enter(ConfigurationState::unused);
+  if (creation_excluded) transition_to(ConfigurationState::unused);
 }
 
-void ConfigurationValidity::found(Time sent) {
+void ConfigurationValidity::on_version_confirmed(Time sent) {
   confirmed_ = std::max(confirmed_.value_or(sent), sent);
-  enter(ConfigurationState::followed);
+  transition_to(ConfigurationState::followed);
 }
 
-void ConfigurationValidity::follow() { enter(ConfigurationState::followed); }
+void ConfigurationValidity::start_following() { transition_to(ConfigurationState::followed); }
 
 bool ConfigurationValidity::may_decide(Time now) const {
   if (state_ == ConfigurationState::unused) return true;
--- a/src/core/model/configuration.hpp
+++ b/src/core/model/configuration.hpp
@@ -11,7 +11,7 @@
 
 namespace martenwall {
 
-using ConfigurationVersion = Strong<struct ConfigurationVersionTag, std::uint64_t>;
+using ConfigurationVersion = StrongType<struct ConfigurationVersionTag, std::uint64_t>;
 
 // Version 0 is what the settings and properties files say.
 struct Configuration {
@@ -38,16 +38,16 @@
   [[nodiscard]] ConfigurationState state() const { return state_; }
   // A read that was sent then found none. Only of the reads that say so (docs/safety.md) it follows that none can come
   // without this node's word.
-  void found_none(Time sent, bool none_can_come);
+  void on_none_found(Time sent, bool creation_excluded);
   // A read that was sent then found the known version to be the newest.
-  void found(Time sent);
-  void follow();  // this node gave its word
-  [[nodiscard]] bool follows() const { return state_ == ConfigurationState::followed; }
+  void on_version_confirmed(Time sent);
+  void start_following();  // this node gave its word
+  [[nodiscard]] bool is_following() const { return state_ == ConfigurationState::followed; }
   // Whether what rests on the configuration may be decided now.
   [[nodiscard]] bool may_decide(Time now) const;
 
  private:
-  void enter(ConfigurationState next);
+  void transition_to(ConfigurationState next);
   ConfigurationState state_ = ConfigurationState::unknown;
   std::optional<Time> confirmed_;  // the sending of the last read that was answered
 };
--- a/src/core/model/done_set.cpp
+++ b/src/core/model/done_set.cpp
@@ -6,24 +6,24 @@
 
 bool DoneSet::insert(std::uint32_t index) {
   if (contains(index)) return false;
-  above_.insert(index);
+  done_above_.insert(index);
   advance();
   return true;
 }
 
-bool DoneSet::contains(std::uint32_t index) const { return index < lowest_ || above_.contains(index); }
+bool DoneSet::contains(std::uint32_t index) const { return index < lowest_unfinished_ || done_above_.contains(index); }
 
 void DoneSet::advance() {
-  while (!above_.empty() && *above_.begin() == lowest_) {
-    above_.erase(above_.begin());
-    ++lowest_;
+  while (!done_above_.empty() && *done_above_.begin() == lowest_unfinished_) {
+    done_above_.erase(done_above_.begin());
+    ++lowest_unfinished_;
   }
 }
 
 std::vector<DoneSet::Range> DoneSet::ranges_in(std::uint32_t first, std::uint32_t last) const {
   std::vector<Range> out;
-  if (lowest_ > first) out.emplace_back(first, std::min(last, lowest_ - 1));
-  for (auto it = above_.lower_bound(first); it != above_.end() && *it <= last; ++it) {
+  if (lowest_unfinished_ > first) out.emplace_back(first, std::min(last, lowest_unfinished_ - 1));
+  for (auto it = done_above_.lower_bound(first); it != done_above_.end() && *it <= last; ++it) {
     if (!out.empty() && out.back().second + 1 == *it) {
       out.back().second = *it;
     } else {
@@ -34,7 +34,7 @@
 }
 
 void DoneSet::insert_range(const Range& range) {
-  for (auto i = std::max(range.first, lowest_); i <= range.second; ++i) above_.insert(i);
+  for (auto i = std::max(range.first, lowest_unfinished_); i <= range.second; ++i) done_above_.insert(i);
   advance();
 }
 
--- a/src/core/model/done_set.hpp
+++ b/src/core/model/done_set.hpp
@@ -14,9 +14,13 @@
 
   bool insert(std::uint32_t index);  // false: was there already
   [[nodiscard]] bool contains(std::uint32_t index) const;
-  [[nodiscard]] std::uint32_t lowest_unfinished() const { return lowest_; }
-  [[nodiscard]] std::uint32_t count() const { return lowest_ + static_cast<std::uint32_t>(above_.size()); }
-  [[nodiscard]] std::uint32_t upper() const { return above_.empty() ? lowest_ : *above_.rbegin() + 1; }
+  [[nodiscard]] std::uint32_t lowest_unfinished() const { return lowest_unfinished_; }
+  [[nodiscard]] std::uint32_t count() const {
+    return lowest_unfinished_ + static_cast<std::uint32_t>(done_above_.size());
+  }
+  [[nodiscard]] std::uint32_t upper() const {
+    return done_above_.empty() ? lowest_unfinished_ : *done_above_.rbegin() + 1;
+  }
   [[nodiscard]] std::vector<Range> ranges_in(std::uint32_t first, std::uint32_t last) const;  // last inclusive
   // Both ends included.
   void insert_range(const Range& range);
@@ -24,8 +28,8 @@
 
  private:
   void advance();
-  std::uint32_t lowest_ = 0;
-  std::set<std::uint32_t> above_;
+  std::uint32_t lowest_unfinished_ = 0;
+  std::set<std::uint32_t> done_above_;
 };
 
 }  // namespace martenwall
--- a/src/core/model/model.cpp
+++ b/src/core/model/model.cpp
@@ -32,13 +32,13 @@
   if (spec.deadline_s) effective_deadline = submitted + seconds(*spec.deadline_s);
 }
 
-bool Job::enter(JobPhase next) {
+bool Job::transition_to(JobPhase next) {
   if (is_final(phase)) return next == phase;
   phase = next;
   return true;
 }
 
-bool Placement::enter(TaskState next, Time now) {
+bool Placement::transition_to(TaskState next, Time now) {
   // A task only moves forward; a worker may skip states between two reports.
   if (next < state_ || state_ == TaskState::ended) return next == state_;
   if (next == state_) return true;
@@ -48,7 +48,7 @@
   return true;
 }
 
-bool Machine::enter(MachinePhase next, Time now) {
+bool Machine::transition_to(MachinePhase next, Time now) {
   if (next == phase_) return true;
   // A machine that was asked to be released never serves again: the request can take effect late.
   if (phase_ == MachinePhase::releasing) return false;
@@ -66,7 +66,7 @@
 Machine::ImageState Machine::image_state(ImageId image) const {
   const auto it = std::ranges::find(images, image, &Image::id);
   if (it == images.end()) return ImageState::absent;
-  return it->ready ? ImageState::ready : ImageState::coming;
+  return it->ready ? ImageState::ready : ImageState::fetching;
 }
 
 void Machine::touch_image(ImageId image, double gb, double cache_gb, bool ready) {
@@ -85,9 +85,9 @@
 }
 
 std::uint32_t Job::pending_tasks() const {
-  if (is_final(phase) || phase == JobPhase::waiting) return 0;
-  const auto fresh = spec.tasks - std::min(spec.tasks, next_unstarted);
-  return fresh + static_cast<std::uint32_t>(requeued.size());
+  if (is_final(phase) || phase == JobPhase::blocked) return 0;
+  const auto never_started = spec.tasks - std::min(spec.tasks, next_unstarted);
+  return never_started + static_cast<std::uint32_t>(requeued.size());
 }
 
 std::optional<std::uint32_t> Job::next_pending() const {
@@ -96,7 +96,7 @@
   return std::nullopt;
 }
 
-void Job::take(std::uint32_t index, const MachineId& machine) {
+void Job::assign(std::uint32_t index, const MachineId& machine) {
   requeued.erase(index);
   for (; next_unstarted <= index; ++next_unstarted) {
     if (next_unstarted < index && !done.contains(next_unstarted) && !placed.contains(next_unstarted)) {
@@ -106,11 +106,11 @@
   placed[index] = machine;
 }
 
-void Job::hold(std::uint32_t index, const MachineId& machine) {
-  const auto holder = placed.find(index);
-  if (holder == placed.end()) {
-    take(index, machine);
-  } else if (holder->second != machine) {
+void Job::record_placement(std::uint32_t index, const MachineId& machine) {
+  const auto current = placed.find(index);
+  if (current == placed.end()) {
+    assign(index, machine);
+  } else if (current->second != machine) {
     orphans.emplace(index, machine);
   }
 }
--- a/src/core/model/model.hpp
+++ b/src/core/model/model.hpp
@@ -20,7 +20,7 @@
 // Ordered: a job may preempt work of lower priority.
 enum class Priority { best_effort, normal, high, production };
 // `waiting`: blocked: jobs that it depends on are not all done; users are told `pending`.
-enum class JobPhase { pending, running, done, cancelled, waiting };
+enum class JobPhase { pending, running, done, cancelled, blocked };
 // As users are told.
 std::string_view name_of(JobPhase p);
 
@@ -29,9 +29,9 @@
 // Amounts of what a task needs, or a machine or team has.
 struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
-  [[nodiscard]] bool fits_in(const Resources& room) const {
+  [[nodiscard]] bool fits_in(const Resources& available) const {
     constexpr double slack = 1e-9;
-    return cpus <= room.cpus + slack && gpus <= room.gpus + slack && memory_gb <= room.memory_gb + slack;
+    return cpus <= available.cpus + slack && gpus <= available.gpus + slack && memory_gb <= available.memory_gb + slack;
   }
   void add(const Resources& r, double times = 1) {
     cpus += r.cpus * times;
@@ -39,7 +39,7 @@
     memory_gb += r.memory_gb * times;
   }
   // Of each the lesser.
-  [[nodiscard]] Resources least(const Resources& o) const {
+  [[nodiscard]] Resources component_min(const Resources& o) const {
     return {std::min(cpus, o.cpus), std::min(gpus, o.gpus), std::min(memory_gb, o.memory_gb)};
   }
   [[nodiscard]] Resources times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
@@ -48,17 +48,17 @@
 // A kind of machine that the cloud rents: capacity, image cache, prices, nominal boot time, zones.
 struct MachineType {
   std::string name;
-  Resources room;
+  Resources capacity;
   double cache_gb = 0, fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
   std::vector<std::string> zones;
 };
 
 // How much of such a machine a need takes, in its GPUs, or in its CPUs where it has none.
-inline double size_on(const MachineType& type, const Resources& need) {
+inline double dominant_units(const MachineType& type, const Resources& need) {
   const auto part = [](double of, double n) { return of > 0 ? n / of : 0.0; };
-  const double dominant = std::max(
-      {part(type.room.cpus, need.cpus), part(type.room.gpus, need.gpus), part(type.room.memory_gb, need.memory_gb)});
-  return dominant * (type.room.gpus > 0 ? type.room.gpus : type.room.cpus);
+  const double dominant = std::max({part(type.capacity.cpus, need.cpus), part(type.capacity.gpus, need.gpus),
+                                    part(type.capacity.memory_gb, need.memory_gb)});
+  return dominant * (type.capacity.gpus > 0 ? type.capacity.gpus : type.capacity.cpus);
 }
 
 // Whose quota work counts for.
@@ -92,7 +92,7 @@
 std::string_view name_of(TaskState s);
 // Why a task ended, as its worker reports it; `peers`: a member of its gang was lost, `alone`: its gang was not
 // complete in time, `no_room` and `busy`: the worker refused the start, `unknown`: the worker does not know the task.
-enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+enum class ExitCause { none, done, stopped, peer_lost, gang_incomplete, error, no_capacity, busy, unknown };
 // For the log.
 std::string_view name_of(ExitCause c);
 
@@ -103,7 +103,7 @@
       : task(std::move(task_id)), attempt(attempt_no), generation(change), placed_at(now) {}
 
   // The one function that changes the state; returns false where the change is not a legal one.
-  bool enter(TaskState next, Time now);
+  bool transition_to(TaskState next, Time now);
   [[nodiscard]] TaskState state() const { return state_; }
   // While true it takes room, counts for its team's limit and binds its zone.
   [[nodiscard]] bool occupies() const { return !removed && state_ != TaskState::ended; }
@@ -145,14 +145,14 @@
  public:
   explicit Machine(MachineId machine_id) : id(std::move(machine_id)) {}
   // The one function that changes the phase; returns false where the change is not a legal one.
-  bool enter(MachinePhase next, Time now);
+  bool transition_to(MachinePhase next, Time now);
   [[nodiscard]] MachinePhase phase() const { return phase_; }
-  [[nodiscard]] bool takes_starts() const { return phase_ == MachinePhase::up && has_reported; }
+  [[nodiscard]] bool accepts_starts() const { return phase_ == MachinePhase::up && has_reported; }
   // nullptr where there is none.
   Placement* find(const TaskId& task, Attempt attempt);
   [[nodiscard]] bool empty() const { return task_count == 0; }
   // Of an image in the machine's cache.
-  enum class ImageState { absent, coming, ready };
+  enum class ImageState { absent, fetching, ready };
   [[nodiscard]] ImageState image_state(ImageId image) const;
   [[nodiscard]] bool has_image(ImageId image) const { return image_state(image) == ImageState::ready; }
   // The image was used, or its fetch began (`ready` false): the least recently used ones leave the cache.
@@ -235,7 +235,7 @@
   std::uint32_t running = 0;        // tasks reported as running
   bool suspect = false;             // fails wherever it goes: most likely it was submitted with a mistake
   bool limit_logged = false, all_run_logged = false;
-  double ran_s = 0;                                  // run time of its tasks that are over, under this leader
+  double total_run_s = 0;                            // run time of its tasks that are over, under this leader
   bool start_counted = false, late_counted = false;  // in the service record
   Time waiting_since{};
   Time preempt_after{};
@@ -243,20 +243,20 @@
 
   void reset_urgency();  // as its user stated it
   // The one function that changes the phase; an end is for good.
-  bool enter(JobPhase next);
+  bool transition_to(JobPhase next);
   // Tasks that may be placed now; 0 while it is blocked or over.
   [[nodiscard]] std::uint32_t pending_tasks() const;
   [[nodiscard]] std::optional<std::uint32_t> next_pending() const;
   // Tasks that are not done.
   [[nodiscard]] std::uint32_t unfinished() const { return spec.tasks - done.count(); }
   // The task is placed on the machine.
-  void take(std::uint32_t index, const MachineId& machine);
+  void assign(std::uint32_t index, const MachineId& machine);
   // The task is on no machine any more.
   void return_to_pending(std::uint32_t index);
   // A task of an array completed, also one that this leader did not start.
   void complete(std::uint32_t index);
   // May be there: as the one place of the task, or besides another.
-  void hold(std::uint32_t index, const MachineId& machine);
+  void record_placement(std::uint32_t index, const MachineId& machine);
   // On so many machines it failed while nothing of it was done, under earlier leaders too.
   [[nodiscard]] std::uint32_t failed_machines() const {
     return failed_before + static_cast<std::uint32_t>(failed_on.size());
--- a/src/core/model/policy.hpp
+++ b/src/core/model/policy.hpp
@@ -30,19 +30,19 @@
   // Rounds and fleet
   Duration cycle_interval;
   Duration idle_release;
-  Duration quiet_after;    // without a submission for so long, idle machines go back after
-  Duration quiet_release;  // this time already
+  Duration quiet_period;        // without a submission for so long, idle machines go back after
+  Duration quiet_idle_release;  // this time already
   int warm_machines;
-  double reserve_deviations;  // idle machines kept: scatter of the load's growth over a boot, times this
-  Duration surplus_release;   // idle machines beyond that go back after
-  double boot_patience;       // times the nominal boot time before a machine is given up
+  double reserve_deviations;   // idle machines kept: scatter of the load's growth over a boot, times this
+  Duration surplus_release;    // idle machines beyond that go back after
+  double boot_timeout_factor;  // times the nominal boot time before a machine is given up
   Duration capacity_retry;
-  Duration lost_patience;              // how long a machine may be lost, and not listed as failed, until it is returned
-  Duration best_effort_spot_patience;  // so long a team without guarantee keeps to spot machines
-  Duration best_effort_spot_patience_without_spot;  // the same where there is no spot machine at all
+  Duration lost_timeout;           // how long a machine may be lost, and not listed as failed, until it is returned
+  Duration best_effort_spot_wait;  // so long a team without guarantee keeps to spot machines
+  Duration best_effort_spot_wait_without_spot;  // the same where there is no spot machine at all
   bool direct_starts;
   bool reserve_limit_headroom;  // a row that its team's limit keeps waiting is left room for one task by those after it
-  bool unsaved_stops;           // a lone task is stopped for others without saving where that costs less
+  bool allow_unsaved_stops;     // a lone task is stopped for others without saving where that costs less
   int error_limit;              // failures in a row of different jobs: quarantine
   int suspect_machines;         // a job that failed on so many, with nothing done, is suspect
   // Workers
@@ -51,19 +51,19 @@
   int metrics_port;            // of a listener on loopback that serves /metrics; 0: none
   // Leadership
   Duration lease_ttl;
-  Duration renew_every;
-  Duration margin;
+  Duration renew_interval;
+  Duration lease_margin;
 };
 
 // How soon the users want work to start, from the settings' objectives.
-struct StartAims {
-  std::map<std::string, std::vector<double>> by_class;            // seconds from the submission
-  double guarantee_s = 0;                                         // for work within its team's guarantee; 0: none asked
-  std::map<std::string, std::vector<double>> deadlines_by_class;  // times its deadline within which to be done
+struct StartObjectives {
+  std::map<std::string, std::vector<double>> start_s_by_class;  // seconds from the submission
+  double guarantee_start_s = 0;                                 // for work within its team's guarantee; 0: none asked
+  std::map<std::string, std::vector<double>> deadline_multiples_by_class;  // times its deadline within which to be done
 };
 
 // The protocol's times for workers, seconds.
-struct WorkerTerms {
+struct WorkerTimings {
   double heartbeat_interval_s = 3, lease_s = 20, gang_wait_s = 50, gang_peer_s = 4, cancel_s = 40;
 };
 
--- a/src/core/model/quota_usage.hpp
+++ b/src/core/model/quota_usage.hpp
@@ -20,13 +20,14 @@
   }
   [[nodiscard]] const std::map<std::string, Resources>& all() const { return used_; }
   // How many tasks of this need the team may add without passing its limit, or what is to be left free of it.
-  [[nodiscard]] std::uint32_t room_for(const std::string& team, const Resources& need,
-                                       const Resources& left = {}) const {
+  [[nodiscard]] std::uint32_t max_additional_tasks(const std::string& team, const Resources& need,
+                                                   const Resources& reserved = {}) const {
     const auto it = teams_.find(team);
     if (it == teams_.end()) return 0;
     auto u = used(team);
-    u.add(left);
-    return std::min(fits(it->second.limit.cpus, u.cpus, need.cpus), fits(it->second.limit.gpus, u.gpus, need.gpus));
+    u.add(reserved);
+    return std::min(max_tasks(it->second.limit.cpus, u.cpus, need.cpus),
+                    max_tasks(it->second.limit.gpus, u.gpus, need.gpus));
   }
   // Whether the team uses more than its guaranteed quota, or has none.
   [[nodiscard]] bool over_guarantee(const std::string& team) const {
@@ -41,11 +42,11 @@
  private:
   // In the settings a limit of 0 means that none is set for that kind of resource: both
   // deployments give cpus_max 0 for teams whose tasks all use CPUs.
-  static std::uint32_t fits(double limit, double used, double need) {
-    constexpr std::uint32_t many = 1'000'000;
-    if (limit <= 0 || need <= 0) return many;
+  static std::uint32_t max_tasks(double limit, double used, double need) {
+    constexpr std::uint32_t unlimited = 1'000'000;
+    if (limit <= 0 || need <= 0) return unlimited;
     const double n = (limit - used + 1e-6) / need;
-    return n <= 0 ? 0 : static_cast<std::uint32_t>(std::min<double>(n, many));
+    return n <= 0 ? 0 : static_cast<std::uint32_t>(std::min<double>(n, unlimited));
   }
   static bool exceeds(double guarantee, double used) { return guarantee > 0 && used > guarantee + 1e-6; }
 
--- a/src/core/persistence/row_tracker.cpp
+++ b/src/core/persistence/row_tracker.cpp
@@ -6,11 +6,11 @@
 namespace martenwall {
 
 namespace {
-constexpr std::size_t max_stored_images = 12;        // of a machine, most recently used first
-constexpr Duration machine_row_delay = seconds(4);   // images of the machines in a row come one by one
-constexpr Duration removal_delay = seconds(2);       // rows that only a later leader would read
-constexpr Duration successor_pause = seconds(0.05);  // until a row waits for its successors again
-constexpr Duration unsplittable_pause = seconds(1);  // until a row that cannot be split is tried again
+constexpr std::size_t max_stored_images = 12;              // of a machine, most recently used first
+constexpr Duration machine_row_delay = seconds(4);         // images of the machines in a row come one by one
+constexpr Duration removal_delay = seconds(2);             // rows that only a later leader would read
+constexpr Duration successor_retry_delay = seconds(0.05);  // until a row waits for its successors again
+constexpr Duration unsplittable_retry_delay = seconds(1);  // until a row that cannot be split is tried again
 }  // namespace
 
 // ---- loading ----
@@ -21,7 +21,8 @@
     return;
   }
   add_uncovered_ranges(job, row.first, row.first + row.size);
-  if (const auto own = job.task_ranges.find(row.first); own != job.task_ranges.end()) own->second.in_store = row.size;
+  if (const auto loaded = job.task_ranges.find(row.first); loaded != job.task_ranges.end())
+    loaded->second.in_store = row.size;
 }
 
 void RowTracker::finish_load(Job& job, Time now) {
@@ -71,7 +72,7 @@
   queue_.add(key, now, priority_of(key));
   if (job.phase != JobPhase::done) return;
   // Its end says more than its tasks' ends would: one change fewer for each job, which a swarm of small ones needs.
-  for_each_row(job, format_, [&](const RowKey& row, const Job::RowState&) { queue_.drop(row); });
+  for_each_row(job, format_, [&](const RowKey& row, const Job::RowState&) { queue_.remove(row); });
 }
 
 void RowTracker::queue_rows(const Job& job, Time due, WritePriority priority) {
@@ -106,14 +107,14 @@
 void RowTracker::migrate_v1_rows(Job& job, Time now) {
   for (const auto& [first, row] : job.v1_rows) {
     const RowKey old{RowKind::tasks_v1, job.spec.id.value(), first / format_.v1_row_size};
-    queue_.drop(old);
+    queue_.remove(old);
     const bool dirty = row.changed > row.stored;
     const auto end = v1_row_end(job, first, format_);
     for (auto i = first; i < end;) {
-      const auto known = job.task_ranges.size();
+      const auto range_count = job.task_ranges.size();
       const auto range = find_or_add_range(job, i, format_);
       i = range->first + range->second.size;
-      if (job.task_ranges.size() == known) continue;
+      if (job.task_ranges.size() == range_count) continue;
       range->second.changed = row.changed;
       range->second.stored = row.stored;
       queue_.add({RowKind::tasks, job.spec.id.value(), range->first}, now,
@@ -146,12 +147,12 @@
 }
 
 bool RowTracker::split_row(const RowWrite& write, Time now) {
-  queue_.done(write.key);
+  queue_.finish_write(write.key);
   Job* job = state_.find_job(JobId{write.key.id});
   if (job == nullptr) return true;
   const auto range = job->task_ranges.find(write.key.part);
   if (write.key.kind != RowKind::tasks || range == job->task_ranges.end() || range->second.size < 2) {
-    queue_.add(write.key, now + unsplittable_pause, priority_of(*job));
+    queue_.add(write.key, now + unsplittable_retry_delay, priority_of(*job));
     return false;
   }
   const auto half = range->second.size / 2;
@@ -165,7 +166,7 @@
 
 void RowTracker::requeue(const std::vector<RowWrite>& writes, Duration delay, Time now) {
   for (const auto& write : writes) {
-    queue_.done(write.key);
+    queue_.finish_write(write.key);
     queue_.add(write.key, now + delay, priority_of(write.key));
   }
 }
@@ -182,21 +183,21 @@
   const Job* job = std::as_const(state_).find_job(JobId{key.id});
   if (job == nullptr || key.kind == RowKind::machines) return true;
   if (key.kind == RowKind::tasks && !successors_stored(*job, key.part, now)) {
-    queue_.done(key);
-    queue_.add(key, now + successor_pause, priority_of(*job));
+    queue_.finish_write(key);
+    queue_.add(key, now + successor_retry_delay, priority_of(*job));
     return false;
   }
   const auto v1_first = key.part * format_.v1_row_size;
   if (format_.range_rows && key.kind == RowKind::tasks_v1 && !is_superseded(*job, v1_first, format_)) {
-    queue_.done(key);
+    queue_.finish_write(key);
     return false;
   }
   return true;
 }
 
-std::vector<RowWrite> RowTracker::take_writes(std::size_t most, bool deferrable, Time now) {
+std::vector<RowWrite> RowTracker::take_writes(std::size_t max_rows, bool deferrable, Time now) {
   std::vector<RowWrite> writes;
-  for (const auto& key : queue_.take(most, deferrable, now)) {
+  for (const auto& key : queue_.pop_due(max_rows, deferrable, now)) {
     if (is_due(key, now)) writes.push_back(build_write(key));
   }
   return writes;
@@ -251,7 +252,7 @@
   row.need = job.spec.need;
   row.priority = job.priority;
   row.next_attempt = job.next_attempt;
-  row.failed = job.failed_machines();
+  row.failed_machines = job.failed_machines();
   const auto add_placed = [&](std::uint32_t index, const MachineId& id) {
     const auto machine = state_.machines.find(id);
     if (machine == state_.machines.end()) return;
@@ -289,7 +290,7 @@
 // ---- written ----
 
 void RowTracker::on_stored(const RowWrite& write, Time now) {
-  queue_.done(write.key);
+  queue_.finish_write(write.key);
   if (write.key.kind == RowKind::tasks || write.key.kind == RowKind::tasks_v1) on_task_row_stored(write, now);
 }
 
--- a/src/core/persistence/row_tracker.hpp
+++ b/src/core/persistence/row_tracker.hpp
@@ -42,7 +42,7 @@
 
   // The rows to be written now, at most `most`; each counts as being written until one of the three functions below is
   // called for it. `deferrable`: also rows that nobody waits for, where there are no others.
-  std::vector<RowWrite> take_writes(std::size_t most, bool deferrable, Time now);
+  std::vector<RowWrite> take_writes(std::size_t max_rows, bool deferrable, Time now);
   [[nodiscard]] bool has_writes(bool deferrable, Time now) const;
   // The row was written.
   void on_stored(const RowWrite& write, Time now);
--- a/src/core/placement/heuristic_table.cpp
+++ b/src/core/placement/heuristic_table.cpp
@@ -50,7 +50,7 @@
   out << "Properties that weigh the heuristics (--properties), with their defaults:\n";
   for (const auto& h : table) {
     for (const auto& w : h.weights) {
-      out << "  " << w.property << " = " << defaults.*w.value << "  " << h.name << ": " << h.what << "\n";
+      out << "  " << w.property << " = " << defaults.*w.value << "  " << h.name << ": " << h.description << "\n";
     }
   }
   return out.str();
--- a/src/core/placement/heuristic_table.hpp
+++ b/src/core/placement/heuristic_table.hpp
@@ -17,9 +17,9 @@
 
 struct Heuristic {
   std::string_view name;
-  void (*add)(const PlacementProblem& problem, ScoreMatrix& m);
+  void (*apply)(const PlacementProblem& problem, ScoreMatrix& m);
   std::span<const HeuristicWeight> weights;
-  std::string_view what;  // for operators, one line
+  std::string_view description;  // for operators, one line
 };
 
 // In the order in which they are applied: the first says where a task fits at all, the others add to those entries.
--- a/src/core/placement/heuristics.hpp
+++ b/src/core/placement/heuristics.hpp
@@ -20,7 +20,8 @@
   double estimate_s = 0;       // Nxtime: corrected estimate
   bool uniform_image = false;  // a gang whose tasks must all have their image, or all fetch it
   bool spot_only = false;      // takes what others leave: keeps off the ordinary machines
-  double expected_misses = 0;  // in a shortage: of the times that it should meet, those that it is expected to miss
+  double expected_missed_targets =
+      0;  // in a shortage: of the times that it should meet, those that it is expected to miss
   // In a shortage, of work that can be in time: 0 to 1 in place of the curve's rise, the least work highest.
   std::optional<double> shortage_order{};
   bool begin_overdue = false;     // nothing of it began for long: this is about its first task alone
@@ -45,7 +46,8 @@
   bool spot = false;
 };
 // The index of the kind, which is added where it is new. There are few: types times zones times two.
-std::size_t kind_of(std::vector<MachineKind>& kinds, const MachineType& type, const std::string& zone, bool spot);
+std::size_t find_or_add_kind(std::vector<MachineKind>& kinds, const MachineType& type, const std::string& zone,
+                             bool spot);
 // For each kind: may a task of the job run there?
 std::vector<char> allowed_kinds(const JobSpec& spec, const std::vector<MachineKind>& kinds);
 
@@ -82,7 +84,7 @@
 // May a task of this job ever run on such a machine?
 bool type_allows(const JobSpec& spec, const MachineType& type);
 // May it run in this zone, on a spot machine or not?
-bool place_allows(const JobSpec& spec, const std::string& zone, bool spot);
+bool location_allows(const JobSpec& spec, const std::string& zone, bool spot);
 
 // The paper's f1: rises from the minimum to the maximum as the expected end nears the deadline. All in seconds from the
 // submission.
--- a/src/core/placement/matcher.cpp
+++ b/src/core/placement/matcher.cpp
@@ -6,7 +6,7 @@
 
 namespace martenwall {
 
-ZoneCounts zones_of(const Job& job, const std::map<MachineId, Machine>& machines) {
+ZoneCounts count_tasks_by_zone(const Job& job, const std::map<MachineId, Machine>& machines) {
   ZoneCounts counts;
   for (const auto& [index, id] : job.placed) {
     const auto it = machines.find(id);
@@ -28,17 +28,17 @@
     : problem_(problem), matrix_(matrix), quota_usage_(quota_usage), machines_(machines), zones_(problem.jobs.size()) {
   for (std::size_t r = 0; r < problem_.jobs.size(); ++r) {
     const auto& spec = problem_.jobs[r].job->spec;
-    if (spec.one_zone || spec.spread) zones_[r] = zones_of(*problem_.jobs[r].job, machines_);
+    if (spec.one_zone || spec.spread) zones_[r] = count_tasks_by_zone(*problem_.jobs[r].job, machines_);
   }
 }
 
 namespace {
 
 // A row's best entry that was not tried yet; of equal ones the first row's first column.
-struct Head {
+struct RowHead {
   double value;
   std::size_t row, column;
-  bool operator<(const Head& o) const {
+  bool operator<(const RowHead& o) const {
     if (value != o.value) return value < o.value;
     return row != o.row ? row > o.row : column > o.column;
   }
@@ -50,7 +50,7 @@
 // row whose next one is highest, is the repeated pick of the highest entry. Rows are sorted only when
 // their turn comes: most are closed, or out of room, long before their last entry.
 std::vector<Match> Matcher::run() {
-  std::priority_queue<Head> heads;
+  std::priority_queue<RowHead> heads;
   std::vector<std::vector<std::size_t>> order(problem_.jobs.size());
   std::vector<std::size_t> next(problem_.jobs.size(), 0);
   for (std::size_t r = 0; r < problem_.jobs.size(); ++r) {
@@ -58,7 +58,7 @@
     if (best) heads.push({matrix_.at(r, *best), r, *best});
   }
   while (!heads.empty()) {
-    const Head head = heads.top();
+    const RowHead head = heads.top();
     heads.pop();
     if (problem_.jobs[head.row].job->spec.kind == JobKind::gang) {
       place_gang(head.row);
@@ -72,7 +72,7 @@
     // Room, slots, limits and zones only shrink within a round: what can take nothing now never will.
     auto& n = next[head.row];
     ++n;
-    while (n < columns.size() && !can_take(head.row, columns[n])) ++n;
+    while (n < columns.size() && !can_place(head.row, columns[n])) ++n;
     if (n < columns.size()) heads.push({matrix_.at(head.row, columns[n]), head.row, columns[n]});
   }
   return std::move(matches_);
@@ -102,7 +102,7 @@
   return out;
 }
 
-void Matcher::take(std::size_t row, std::size_t column) {
+void Matcher::reserve(std::size_t row, std::size_t column) {
   auto& r = problem_.jobs[row];
   auto& c = problem_.machines[column];
   c.free.add(r.job->spec.need, -1);
@@ -112,19 +112,19 @@
   --r.count;
 }
 
-bool Matcher::can_take(std::size_t row, std::size_t column) const {
+bool Matcher::can_place(std::size_t row, std::size_t column) const {
   const auto& r = problem_.jobs[row];
   const auto& spec = r.job->spec;
   const auto& c = problem_.machines[column];
   // Team limits clear the entry.
   return r.count > 0 && c.slots > 0 && spec.need.fits_in(c.free) &&
-         quota_usage_.room_for(spec.team, spec.need, r.reserved_headroom) > 0 &&
+         quota_usage_.max_additional_tasks(spec.team, spec.need, r.reserved_headroom) > 0 &&
          zone_allows(spec, zones_[row], c.machine->zone);
 }
 
 bool Matcher::place_one(std::size_t row, std::size_t column) {
-  if (!can_take(row, column)) return false;
-  take(row, column);
+  if (!can_place(row, column)) return false;
+  reserve(row, column);
   matches_.push_back({row, {column}});
   return true;
 }
@@ -143,24 +143,24 @@
   const auto& spec = job.spec;
   ZoneCounts counts;
   // A gang takes a few of many: they are picked off a heap, in the order in which sorting would put them.
-  auto left = allowed_columns(row, only_zone);
-  const auto later = [&](std::size_t a, std::size_t b) {
+  auto heap = allowed_columns(row, only_zone);
+  const auto lower_score = [&](std::size_t a, std::size_t b) {
     const double va = matrix_.at(row, a);
     const double vb = matrix_.at(row, b);
     return va != vb ? va < vb : a > b;
   };
-  std::ranges::make_heap(left, later);
-  while (!left.empty() && out.size() < spec.tasks) {
-    std::ranges::pop_heap(left, later);
-    const auto c = left.back();
-    left.pop_back();
+  std::ranges::make_heap(heap, lower_score);
+  while (!heap.empty() && out.size() < spec.tasks) {
+    std::ranges::pop_heap(heap, lower_score);
+    const auto c = heap.back();
+    heap.pop_back();
     if (cached && problem_.machines[c].machine->has_image(job.image) != *cached) continue;
-    auto room = problem_.machines[c].free;
+    auto free = problem_.machines[c].free;
     const auto& zone = problem_.machines[c].machine->zone;
     auto slots = problem_.machines[c].slots;
-    while (out.size() < spec.tasks && slots-- > 0 && spec.need.fits_in(room) && zone_allows(spec, counts, zone)) {
+    while (out.size() < spec.tasks && slots-- > 0 && spec.need.fits_in(free) && zone_allows(spec, counts, zone)) {
       out.push_back(c);
-      room.add(spec.need, -1);
+      free.add(spec.need, -1);
       ++counts[zone];
     }
   }
@@ -169,7 +169,8 @@
 
 bool Matcher::place_gang(std::size_t row) {
   const auto& spec = problem_.jobs[row].job->spec;
-  if (quota_usage_.room_for(spec.team, spec.need, problem_.jobs[row].reserved_headroom) < spec.tasks) return false;
+  if (quota_usage_.max_additional_tasks(spec.team, spec.need, problem_.jobs[row].reserved_headroom) < spec.tasks)
+    return false;
   std::vector<std::size_t> best;
   if (!spec.one_zone) {
     if (!pick_gang_columns(row, nullptr, best)) return false;
@@ -178,18 +179,18 @@
     for (const auto& k : problem_.kinds) zones.insert(k.zone);
     double best_value = 0;
     for (const auto& zone : zones) {
-      std::vector<std::size_t> some;
-      if (!pick_gang_columns(row, &zone, some)) continue;
+      std::vector<std::size_t> columns;
+      if (!pick_gang_columns(row, &zone, columns)) continue;
       double value = 0;
-      for (const auto c : some) value += matrix_.at(row, c);
+      for (const auto c : columns) value += matrix_.at(row, c);
       if (best.empty() || value > best_value) {
-        best = std::move(some);
+        best = std::move(columns);
         best_value = value;
       }
     }
     if (best.empty()) return false;
   }
-  for (const auto c : best) take(row, c);
+  for (const auto c : best) reserve(row, c);
   matches_.push_back({row, std::move(best)});
   return true;
 }
--- a/src/core/placement/matcher.hpp
+++ b/src/core/placement/matcher.hpp
@@ -16,7 +16,7 @@
 
 // Zones that a job's tasks already hold, by number of tasks.
 using ZoneCounts = std::map<std::string, std::uint32_t>;
-ZoneCounts zones_of(const Job& job, const std::map<MachineId, Machine>& machines);
+ZoneCounts count_tasks_by_zone(const Job& job, const std::map<MachineId, Machine>& machines);
 // May one more task of the job go to this zone?
 bool zone_allows(const JobSpec& spec, const ZoneCounts& counts, const std::string& zone);
 
@@ -29,7 +29,7 @@
   std::vector<Match> run();
 
  private:
-  [[nodiscard]] bool can_take(std::size_t row, std::size_t column) const;
+  [[nodiscard]] bool can_place(std::size_t row, std::size_t column) const;
   bool place_one(std::size_t row, std::size_t column);
   bool place_gang(std::size_t row);
   bool pick_gang_columns(std::size_t row, const std::string* only_zone, std::vector<std::size_t>& out);
@@ -38,7 +38,7 @@
   [[nodiscard]] std::optional<std::size_t> best_column(std::size_t row) const;
   [[nodiscard]] std::vector<std::size_t> allowed_columns(std::size_t row, const std::string* only_zone) const;
   [[nodiscard]] std::vector<std::size_t> columns_by_score(std::size_t row) const;
-  void take(std::size_t row, std::size_t column);
+  void reserve(std::size_t row, std::size_t column);
 
   PlacementProblem& problem_;
   ScoreMatrix& matrix_;
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -8,16 +8,18 @@
 
 bool may_preempt(const PendingJob& pending, const Victim& victim) {
   const auto& spec = pending.job->spec;
-  const auto& p = *victim.placement;
+  const auto& placement = *victim.placement;
   const auto priority = pending.job->priority;
-  if (p.priority != priority) return p.priority < priority && !p.orphan && victim.job != pending.job;
-  return pending.within_guarantee && victim.team_over && !victim.guaranteed && !p.orphan && p.team != spec.team;
+  if (placement.priority != priority)
+    return placement.priority < priority && !placement.orphan && victim.job != pending.job;
+  return pending.within_guarantee && victim.team_over_guarantee && !victim.within_guarantee && !placement.orphan &&
+         placement.team != spec.team;
 }
 
 double grace_s(const Policy& policy, const JobSpec& spec) {
   if (spec.checkpoint_interval_s <= 0) return 0;
-  const bool cheaper_unsaved =
-      policy.unsaved_stops && spec.kind != JobKind::gang && spec.checkpoint_interval_s / 2 < spec.checkpoint_duration_s;
+  const bool cheaper_unsaved = policy.allow_unsaved_stops && spec.kind != JobKind::gang &&
+                               spec.checkpoint_interval_s / 2 < spec.checkpoint_duration_s;
   return cheaper_unsaved ? 0 : spec.checkpoint_duration_s;
 }
 
@@ -29,72 +31,74 @@
   // A task with checkpoints saves when it is stopped in order: it loses the saving and the restart.
   const double grace = grace_s(policy, *spec);
   const double unsaved = spec->checkpoint_interval_s > 0 ? std::min(ran, spec->checkpoint_interval_s / 2) : ran;
-  const double lost = (grace > 0 ? grace : unsaved) + 5.0;
+  const double lost_s = (grace > 0 ? grace : unsaved) + 5.0;
   const double gang = spec->kind == JobKind::gang ? spec->tasks : 1;
-  return lost * gang * std::max(1.0, size_on(type, spec->need));
+  return lost_s * gang * std::max(1.0, dominant_units(type, spec->need));
 }
 
 namespace {
 
-constexpr std::size_t most_machines = 32;  // cleared for one array at a time
+constexpr std::size_t max_machines_per_plan = 32;  // cleared for one array at a time
 
 struct Candidate {
   const VictimMachine* machine = nullptr;
   std::size_t victims = 0;  // how far down its list
   std::uint32_t tasks = 0;  // that get room
-  double lost = 0;
+  double lost_gpu_s = 0;
   double cost = 0;
   [[nodiscard]] double cost_each() const { return cost / tasks; }
 };
 
 // Takes further victims of the machine until one more task fits; false where that cannot be.
-bool clear_for_one(const PendingJob& pending, const VictimMachine& m, Resources& room, Candidate& c) {
+bool free_one_task(const PendingJob& pending, const VictimMachine& victim_machine, Resources& free, Candidate& c) {
   const auto& need = pending.job->spec.need;
-  while (!need.fits_in(room)) {
-    if (c.victims == m.victims.size()) return false;
-    const auto& v = m.victims[c.victims++];
+  while (!need.fits_in(free)) {
+    if (c.victims == victim_machine.victims.size()) return false;
+    const auto& v = victim_machine.victims[c.victims++];
     if (v.placement->stop_requested) {  // chosen for another row a moment ago, with the rest of its gang
-      room.add(v.placement->need);
+      free.add(v.placement->need);
       continue;
     }
     if (!may_preempt(pending, v)) continue;
-    room.add(v.placement->need);
-    c.lost += v.lost;
+    free.add(v.placement->need);
+    c.lost_gpu_s += v.lost_gpu_s;
   }
-  room.add(need, -1);
+  free.add(need, -1);
   ++c.tasks;
   return true;
 }
 
 // The cheapest set of victims on one machine that makes room for `wanted` tasks, or for as many as there can be.
-std::optional<Candidate> clear_machine(const PendingJob& pending, const VictimMachine& m, std::uint32_t wanted) {
+std::optional<Candidate> free_tasks_on(const PendingJob& pending, const VictimMachine& victim_machine,
+                                       std::uint32_t wanted) {
   Candidate out;
-  out.machine = &m;
-  Resources room = m.room;
+  out.machine = &victim_machine;
+  Resources free = victim_machine.free;
   while (out.tasks < wanted) {
-    Candidate more = out;
-    if (!clear_for_one(pending, m, room, more)) break;
-    out = more;
+    Candidate extended = out;
+    if (!free_one_task(pending, victim_machine, free, extended)) break;
+    out = extended;
   }
   if (out.tasks == 0) return std::nullopt;
   const auto& job = *pending.job;
-  const bool cold = job.spec.image_gb > 0 && !m.machine->has_image(job.image) && m.type->fetch_gb_per_s > 0;
-  const double fetch_s = cold ? job.spec.image_gb / m.type->fetch_gb_per_s : 0;
-  out.cost = out.lost + fetch_s * std::max(1.0, size_on(*m.type, job.spec.need) * out.tasks);
+  const bool cold =
+      job.spec.image_gb > 0 && !victim_machine.machine->has_image(job.image) && victim_machine.type->fetch_gb_per_s > 0;
+  const double fetch_s = cold ? job.spec.image_gb / victim_machine.type->fetch_gb_per_s : 0;
+  out.cost = out.lost_gpu_s + fetch_s * std::max(1.0, dominant_units(*victim_machine.type, job.spec.need) * out.tasks);
   return out;
 }
 
 // `there`: its other tasks, by zone.
-std::optional<PreemptionPlan> cheapest(const PendingJob& pending, std::vector<Candidate> candidates, std::size_t wanted,
-                                       bool all, ZoneCounts there) {
+std::optional<PreemptionPlan> cheapest_plan(const PendingJob& pending, std::vector<Candidate> candidates,
+                                            std::size_t wanted, bool all, ZoneCounts zone_counts) {
   std::ranges::stable_sort(candidates, {}, &Candidate::cost_each);
   PreemptionPlan out;
   std::size_t tasks = 0;
   for (const auto& c : candidates) {
-    if (tasks >= wanted || (!all && out.machines.size() >= most_machines)) break;
+    if (tasks >= wanted || (!all && out.machines.size() >= max_machines_per_plan)) break;
     const auto& zone = c.machine->machine->zone;
-    if (!zone_allows(pending.job->spec, there, zone)) continue;
-    there[zone] += c.tasks;
+    if (!zone_allows(pending.job->spec, zone_counts, zone)) continue;
+    zone_counts[zone] += c.tasks;
     tasks += c.tasks;
     out.machines.push_back(c.machine->machine);
     for (std::size_t v = 0; v < c.victims; ++v) {
@@ -111,26 +115,27 @@
 }  // namespace
 
 std::optional<PreemptionPlan> plan_preemption(const VictimTable& table, const PendingJob& pending, std::uint32_t wanted,
-                                              const ZoneCounts& there) {
+                                              const ZoneCounts& zone_counts) {
   const auto& spec = pending.job->spec;
   const bool gang = spec.kind == JobKind::gang;
   std::map<std::string, std::vector<Candidate>> by_zone;
   const MachineType* type = nullptr;
   bool type_fits = false;
-  for (const auto& m : table) {
-    if (m.machine->reserved_for) continue;
-    if (std::exchange(type, m.type) != m.type) type_fits = type_allows(spec, *m.type);
-    if (!type_fits || !place_allows(spec, m.machine->zone, m.machine->spot)) continue;
-    const auto c = clear_machine(pending, m, gang ? 1 : wanted);
+  for (const auto& victim_machine : table) {
+    if (victim_machine.machine->reserved_for) continue;
+    if (std::exchange(type, victim_machine.type) != victim_machine.type)
+      type_fits = type_allows(spec, *victim_machine.type);
+    if (!type_fits || !location_allows(spec, victim_machine.machine->zone, victim_machine.machine->spot)) continue;
+    const auto c = free_tasks_on(pending, victim_machine, gang ? 1 : wanted);
     if (!c) continue;
-    auto group = spec.one_zone ? m.machine->zone : std::string{};
-    if (pending.uniform_image && m.machine->has_image(pending.job->image)) group += " cached";
+    auto group = spec.one_zone ? victim_machine.machine->zone : std::string{};
+    if (pending.uniform_image && victim_machine.machine->has_image(pending.job->image)) group += " cached";
     by_zone[std::move(group)].push_back(*c);
   }
   std::optional<PreemptionPlan> best;
   for (auto& [zone, candidates] : by_zone) {
-    auto e = cheapest(pending, std::move(candidates), wanted, gang, there);
-    if (e && (!best || e->cost < best->cost)) best = std::move(e);
+    auto plan = cheapest_plan(pending, std::move(candidates), wanted, gang, zone_counts);
+    if (plan && (!best || plan->cost < best->cost)) best = std::move(plan);
   }
   return best;
 }
--- a/src/core/placement/preemption.hpp
+++ b/src/core/placement/preemption.hpp
@@ -19,17 +19,17 @@
 // Something on a machine that might be stopped. Looked up once a cycle, since many pending jobs ask.
 struct Victim {
   const Placement* placement = nullptr;
-  const Job* job = nullptr;  // nothing where it is not known any more
-  bool guaranteed = false;   // of a job within its team's guarantee
-  bool team_over = false;    // its team uses more than its guarantee
-  double lost = 0;           // GPU-seconds of work lost with it
+  const Job* job = nullptr;          // nothing where it is not known any more
+  bool within_guarantee = false;     // of a job within its team's guarantee
+  bool team_over_guarantee = false;  // its team uses more than its guarantee
+  double lost_gpu_s = 0;             // GPU-seconds of work lost with it
 };
 
 // A machine and what might be stopped there.
 struct VictimMachine {
   Machine* machine = nullptr;
   const MachineType* type = nullptr;
-  Resources room;               // free now, or being freed already
+  Resources free;               // free now, or being freed already
   std::vector<Victim> victims;  // cheapest first
 };
 using VictimTable = std::vector<VictimMachine>;
@@ -47,6 +47,6 @@
                    Time now);
 // Room for `wanted` tasks; of an array also for fewer. `there`: the job's other tasks by zone, where they bind it.
 std::optional<PreemptionPlan> plan_preemption(const VictimTable& table, const PendingJob& pending, std::uint32_t wanted,
-                                              const ZoneCounts& there);
+                                              const ZoneCounts& zone_counts);
 
 }  // namespace martenwall
--- a/src/core/reachability/downlink_health.cpp
+++ b/src/core/reachability/downlink_health.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 // One answer may be lost, two in a row seldom; an order is repeated in each answer.
-constexpr int telling_misses = 3;
-constexpr Duration probe_every = seconds(4);
+constexpr int unreachable_misses = 3;
+constexpr Duration probe_interval = seconds(4);
 }  // namespace
 
 std::string_view name_of(DownlinkState s) {
@@ -15,7 +15,7 @@
   return names.at(static_cast<std::size_t>(s));
 }
 
-void DownlinkHealth::enter(DownlinkState next, Time now) {
+void DownlinkHealth::transition_to(DownlinkState next, Time now) {
   if (next == state_) return;
   state_ = next;
   since_ = now;
@@ -24,27 +24,27 @@
 void DownlinkHealth::on_heartbeat(Incarnation incarnation, Duration lease, Time now) {
   if (incarnation != incarnation_) {
     incarnation_ = incarnation;
-    proof_from_ = now;
+    proof_window_start_ = now;
     return;
   }
   // Without an answer since then the session would be over: the worker's lease counts from an answered report.
-  if (now - proof_from_ > lease) on_delivery_confirmed(now);
+  if (now - proof_window_start_ > lease) on_delivery_confirmed(now);
 }
 
 void DownlinkHealth::on_delivery_confirmed(Time now) {
   misses_ = 0;
-  proof_from_ = now;
-  enter(DownlinkState::reachable, now);
+  proof_window_start_ = now;
+  transition_to(DownlinkState::reachable, now);
 }
 
 void DownlinkHealth::on_delivery_missed(Time now) {
   ++misses_;
-  proof_from_ = now;
-  enter(misses_ >= telling_misses ? DownlinkState::unreachable : DownlinkState::suspected, now);
+  proof_window_start_ = now;
+  transition_to(misses_ >= unreachable_misses ? DownlinkState::unreachable : DownlinkState::suspected, now);
 }
 
-bool DownlinkHealth::takes_probe(Time now) {
-  if (is_reachable() || now - last_probe_ < probe_every) return false;
+bool DownlinkHealth::claim_probe(Time now) {
+  if (is_reachable() || now - last_probe_ < probe_interval) return false;
   last_probe_ = now;
   return true;
 }
--- a/src/core/reachability/downlink_health.hpp
+++ b/src/core/reachability/downlink_health.hpp
@@ -34,14 +34,14 @@
   // When the state was entered.
   [[nodiscard]] Time since() const { return since_; }
   // While it is in doubt an empty command batch is tried now and then: a reply shows that the machine is reachable.
-  [[nodiscard]] bool takes_probe(Time now);
+  [[nodiscard]] bool claim_probe(Time now);
 
  private:
-  void enter(DownlinkState next, Time now);
+  void transition_to(DownlinkState next, Time now);
   DownlinkState state_ = DownlinkState::reachable;
   Time since_{};
   Incarnation incarnation_{};
-  Time proof_from_{};  // an incarnation that outlasts a lease from here on shows that something arrived
+  Time proof_window_start_{};  // an incarnation that outlasts a lease from here on shows that something arrived
   Time last_probe_{Duration::min() / 2};
   int misses_ = 0;
 };
--- a/src/core/reachability/leader_reachability.hpp
+++ b/src/core/reachability/leader_reachability.hpp
@@ -34,7 +34,7 @@
 // One node's view of itself.
 class LeaderReachability {
  public:
-  explicit LeaderReachability(const WorkerTerms& terms);
+  explicit LeaderReachability(const WorkerTimings& timings);
   // Leadership began: workers need a moment to find the new leader, and are not missed before.
   void on_leadership_began(Time now);
   // Another node says how many workers it could not get rid of to this leader.
@@ -51,7 +51,7 @@
   [[nodiscard]] std::size_t reported_stranded(Time now) const;
 
  private:
-  void enter(LeaderReachabilityState next, Time now);
+  void transition_to(LeaderReachabilityState next, Time now);
   [[nodiscard]] std::size_t stranded_since(Time since) const;
   struct StrandedReport {
     std::size_t stranded = 0;
@@ -60,7 +60,7 @@
   Duration window_;
   LeaderReachabilityState state_ = LeaderReachabilityState::reachable;
   Time since_{};
-  Time quiet_until_{};
+  Time settled_at_{};
   Time last_heartbeat_{};
   std::map<std::string, StrandedReport> reports_;
 };
--- a/src/core/scheduler/capacity_manager.hpp
+++ b/src/core/scheduler/capacity_manager.hpp
@@ -22,8 +22,8 @@
   // Part of each scheduling cycle, acts twice a second: plans scale-out for the jobs that are left without a place, and
   // scale-in. `used`: the teams' usage once all that was placed counts.
   void plan(PlacementProblem& problem, QuotaUsage& used, Time now);
-  // Records how many machines are busy, and every ten seconds logs a summary; to be called when `sample_due`.
-  [[nodiscard]] bool sample_due(Time now) const { return now >= next_sample_; }
+  // Records how many machines are busy, and every ten seconds logs a summary; to be called when `is_sample_due`.
+  [[nodiscard]] bool is_sample_due(Time now) const { return now >= next_sample_; }
   void record_fleet_demand(const PlacementProblem& problem, const WriteQueue& writes, Time now);
 
   // The requests to be sent to the cloud, each once.
@@ -41,8 +41,8 @@
   void add_booting(std::vector<CapacityForecast>& out, Time now) const;
   void plan_scale_out(const PlacementProblem& problem, QuotaUsage& used, Time now);
   void plan_scale_in(Time now);
-  [[nodiscard]] bool few_unreachable() const;
-  [[nodiscard]] bool is_useless(const Machine& machine, Time now) const;
+  [[nodiscard]] bool few_machines_unreachable() const;
+  [[nodiscard]] bool should_release(const Machine& machine, Time now) const;
   void release_idle(std::vector<Machine*> idle, Time now);
   [[nodiscard]] bool is_quiet(Time now) const;
 
@@ -50,7 +50,7 @@
   const SchedulerOptions& options_;
   const Preemptor& preemptor_;
   const LeaderLog& log_;
-  CapacityMemory refusals_;
+  CapacityRefusals refusals_;
   std::vector<ScaleOutRequest> requests_;
   std::map<std::string, ScaleOutRequest> pending_;  // by name: sent, not answered yet
   std::uint64_t last_serial_ = 0;                   // of a request's name
--- a/src/core/scheduler/cluster_state.cpp
+++ b/src/core/scheduler/cluster_state.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 // Times the heartbeat interval after which a machine counts as silent: it may be dead.
-constexpr double silent_after_intervals = 2.2;
+constexpr double max_report_age_intervals = 2.2;
 }  // namespace
 
 ClusterState::ClusterState(const SchedulerOptions& options) : quota_usage(teams), options_(options) {
@@ -40,8 +40,8 @@
   Machine& machine = it->second;
   if (added) {
     machine.first_known = machine.last_report_at = machine.idle_since = now;
-    machine.lease_renewed_at = options_.old_leader_until;
-    machine.enter(MachinePhase::up, now);
+    machine.lease_renewed_at = options_.previous_leader_valid_until;
+    machine.transition_to(MachinePhase::up, now);
   }
   return machine;
 }
@@ -59,17 +59,17 @@
 }
 
 void ClusterState::update_accounting(Machine& machine, Placement& placement) {
-  const bool counts = placement.occupies();
-  if (counts != placement.accounted) {
-    const double sign = counts ? 1 : -1;
+  const bool occupies = placement.occupies();
+  if (occupies != placement.accounted) {
+    const double sign = occupies ? 1 : -1;
     machine.used.add(placement.need, sign);
-    machine.task_count = counts ? machine.task_count + 1 : machine.task_count - 1;
+    machine.task_count = occupies ? machine.task_count + 1 : machine.task_count - 1;
     if (machine.task_count == 0) machine.used = {};  // no rounding error outlives the tasks that made it
     quota_usage.add(placement.team, placement.need, sign);
-    placement.accounted = counts;
+    placement.accounted = occupies;
     needs_cycle = true;
   }
-  const bool runs = counts && placement.state() == TaskState::running;
+  const bool runs = occupies && placement.state() == TaskState::running;
   if (runs == placement.accounted_running) return;
   placement.accounted_running = runs;
   Job* job = find_job(placement.task.job);
@@ -85,9 +85,9 @@
 }
 
 bool ClusterState::accepts_new_tasks(const Machine& machine, Time now) const {
-  if (!machine.takes_starts() || !machine.downlink.is_reachable()) return false;
+  if (!machine.accepts_starts() || !machine.downlink.is_reachable()) return false;
   if (machine.quarantined || machine.reclaimed_at || now < machine.no_starts_before) return false;
-  return now - machine.last_report_at <= seconds(options_.terms.heartbeat_interval_s * silent_after_intervals);
+  return now - machine.last_report_at <= seconds(options_.timings.heartbeat_interval_s * max_report_age_intervals);
 }
 
 bool ClusterState::is_best_effort(const Job& job) const {
@@ -105,14 +105,15 @@
 }
 
 double ClusterState::task_run_time_s(const Job& job, Time now) const {
-  double sum = job.ran_s;
+  double total_s = job.total_run_s;
   for (const auto& [index, machine] : job.placed) {
-    for (const auto& p : machines.at(machine).placements) {
-      const bool runs = p.task.job == job.spec.id && p.task.index == index && p.state() == TaskState::running;
-      if (runs) sum += to_seconds(now - p.running_since);
+    for (const auto& placement : machines.at(machine).placements) {
+      const bool runs =
+          placement.task.job == job.spec.id && placement.task.index == index && placement.state() == TaskState::running;
+      if (runs) total_s += to_seconds(now - placement.running_since);
     }
   }
-  return sum;
+  return total_s;
 }
 
 }  // namespace martenwall
--- a/src/core/scheduler/cluster_state.hpp
+++ b/src/core/scheduler/cluster_state.hpp
@@ -62,8 +62,8 @@
   std::set<MachineId> machines_to_command;  // commands may be due to these
   TaskCounts task_counts;                   // since the last summary in the log
   Time last_submission{};
-  double submission_gap_s = 10;  // moving average of the time between two submissions
-  bool needs_cycle = true;       // something happened that may change the outcome of a scheduling cycle
+  double mean_submission_interval_s = 10;  // moving average of the time between two submissions
+  bool needs_cycle = true;                 // something happened that may change the outcome of a scheduling cycle
 
  private:
   const SchedulerOptions& options_;
--- a/src/core/scheduler/dependency_tracker.cpp
+++ b/src/core/scheduler/dependency_tracker.cpp
@@ -7,7 +7,7 @@
 namespace martenwall {
 
 namespace {
-constexpr double handover_s = 2;  // heartbeats, the store and a scheduling cycle, twice
+constexpr double dependent_start_latency_s = 2;  // heartbeats, the store and a scheduling cycle, twice
 }  // namespace
 
 std::optional<JobId> DependencyTracker::add(Job& job, Time now) {
@@ -28,7 +28,7 @@
     job.ready_at = now;
     return std::nullopt;
   }
-  job.enter(JobPhase::waiting);
+  job.transition_to(JobPhase::blocked);
   propagate_urgency(job);
   log_.job_blocked(job);
   return cancelled;
@@ -75,10 +75,10 @@
 void DependencyTracker::unblock(const JobId& id, const std::set<JobId>& dependents, Time now) {
   for (const auto& dependent : dependents) {
     Job* job = state_.find_job(dependent);
-    if (job == nullptr || job->phase != JobPhase::waiting) continue;
+    if (job == nullptr || job->phase != JobPhase::blocked) continue;
     job->open_dependencies.erase(id);
     if (!job->open_dependencies.empty()) continue;
-    job->enter(JobPhase::pending);
+    job->transition_to(JobPhase::pending);
     job->ready_at = job->waiting_since = now;
     state_.needs_cycle = true;
     log_.job_unblocked(*job, now);
@@ -93,8 +93,9 @@
 void DependencyTracker::on_end_stored(const JobId& id) {
   const auto root = cascade_root_of_.find(id);
   if (root == cascade_root_of_.end()) return;
-  const auto rest = open_cascades_.find(root->second);
-  if (rest != open_cascades_.end() && rest->second.erase(id) > 0 && rest->second.empty()) open_cascades_.erase(rest);
+  const auto unstored = open_cascades_.find(root->second);
+  if (unstored != open_cascades_.end() && unstored->second.erase(id) > 0 && unstored->second.empty())
+    open_cascades_.erase(unstored);
   cascade_root_of_.erase(root);
 }
 
@@ -102,7 +103,7 @@
 
 // From the job's start to the moment when its dependents can start, if nothing stands in its way.
 double DependencyTracker::time_to_completion_s(const Job& job) const {
-  return estimator_.estimate_s(job) + state_.fetch_time_s(job.spec) + handover_s;
+  return estimator_.estimate_s(job) + state_.fetch_time_s(job.spec) + dependent_start_latency_s;
 }
 
 // True where that made the job more urgent.
@@ -120,32 +121,32 @@
 }
 
 void DependencyTracker::propagate_urgency(const Job& job) {
-  std::deque<const Job*> next{&job};
-  for (; !next.empty(); next.pop_front()) {
-    for (const auto& id : next.front()->open_dependencies) {
+  std::deque<const Job*> queue{&job};
+  for (; !queue.empty(); queue.pop_front()) {
+    for (const auto& id : queue.front()->open_dependencies) {
       Job* dependency = state_.find_job(id);
       if (dependency == nullptr || is_final(dependency->phase)) continue;
-      if (!inherit_urgency(*dependency, *next.front())) continue;
+      if (!inherit_urgency(*dependency, *queue.front())) continue;
       state_.needs_cycle = true;
-      next.push_back(dependency);
+      queue.push_back(dependency);
     }
   }
 }
 
 void DependencyTracker::recompute_urgency(const Job& cancelled) {
-  std::deque<const Job*> next{&cancelled};
-  for (; !next.empty(); next.pop_front()) {
-    for (const auto& id : next.front()->open_dependencies) {
+  std::deque<const Job*> queue{&cancelled};
+  for (; !queue.empty(); queue.pop_front()) {
+    for (const auto& id : queue.front()->open_dependencies) {
       Job* job = state_.find_job(id);
       if (job == nullptr || is_final(job->phase)) continue;
-      const auto before = std::pair{job->priority, job->effective_deadline};
+      const auto previous = std::pair{job->priority, job->effective_deadline};
       job->reset_urgency();
       if (const auto dependents = dependents_.find(id); dependents != dependents_.end()) {
         for (const auto& dependent : dependents->second) {
           if (const Job* other = std::as_const(state_).find_job(dependent)) inherit_urgency(*job, *other);
         }
       }
-      if (before != std::pair{job->priority, job->effective_deadline}) next.push_back(job);
+      if (previous != std::pair{job->priority, job->effective_deadline}) queue.push_back(job);
     }
   }
 }
--- a/src/core/scheduler/dependency_tracker.hpp
+++ b/src/core/scheduler/dependency_tracker.hpp
@@ -48,7 +48,7 @@
   // once, until `retry_lookup` says that nothing was found out.
   std::vector<JobId> take_lookups();
   void retry_lookup(const JobId& id);
-  [[nodiscard]] bool has_open_lookups() const { return !(lookups_due_.empty() && lookups_issued_.empty()); }
+  [[nodiscard]] bool has_pending_lookups() const { return !(lookups_due_.empty() && lookups_issued_.empty()); }
   [[nodiscard]] bool has_dependents(const JobId& id) const { return dependents_.contains(id); }
 
  private:
--- a/src/core/scheduler/failure_tracker.cpp
+++ b/src/core/scheduler/failure_tracker.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 // Back-off of a job whose tasks failed, doubled with each further wave of failures.
-constexpr double first_pause_s = 0.5;
-constexpr double longest_pause_s = 30;
+constexpr double initial_backoff_s = 0.5;
+constexpr double max_backoff_s = 30;
 // The same for a suspect job.
-constexpr double first_probe_s = 8;
-constexpr double longest_probe_s = 60;
-constexpr Duration machine_pause = seconds(5);  // after a failure, before the machine gets further tasks
+constexpr double initial_probe_backoff_s = 8;
+constexpr double max_probe_backoff_s = 60;
+constexpr Duration machine_cooldown = seconds(5);  // after a failure, before the machine gets further tasks
 // Within the pause most jobs have been tried elsewhere, which tells whose fault it was.
 constexpr Duration evaluation_delay = seconds(4);
-constexpr Duration replica_trusted_after = seconds(30);  // of running
+constexpr Duration replica_healthy_after = seconds(30);  // of running
 
-double back_off_s(double first, double longest, int times) {
-  return std::min(longest, first * std::pow(2.0, std::clamp(times, 0, 10)));
+double backoff_s(double initial_s, double max_s, int doublings) {
+  return std::min(max_s, initial_s * std::pow(2.0, std::clamp(doublings, 0, 10)));
 }
 }  // namespace
 
@@ -31,11 +31,11 @@
   if (job.done.count() == 0) job.failed_on.insert(machine.id);
   if (!job.suspect) machine.failing_jobs.insert(job.spec.id);
   review_suspicion(job, now);
-  const double pause_s = job.suspect ? back_off_s(first_probe_s, longest_probe_s, job.failed_waves - 1)
-                                     : back_off_s(first_pause_s, longest_pause_s, job.failed_waves);
-  job.not_before = std::max(job.not_before, now + seconds(pause_s));
+  const double delay_s = job.suspect ? backoff_s(initial_probe_backoff_s, max_probe_backoff_s, job.failed_waves - 1)
+                                     : backoff_s(initial_backoff_s, max_backoff_s, job.failed_waves);
+  job.not_before = std::max(job.not_before, now + seconds(delay_s));
   if (job.suspect) return;
-  machine.no_starts_before = now + machine_pause;
+  machine.no_starts_before = now + machine_cooldown;
   machine.evaluate_at = now + evaluation_delay;
 }
 
@@ -99,14 +99,14 @@
   if (!machine.quarantined || machine.phase() != MachinePhase::draining || machine.reclaimed_at) return;
   if (unexplained_failures(machine) >= options_.policy.error_limit) return;
   machine.quarantined = false;
-  machine.enter(MachinePhase::up, now);
+  machine.transition_to(MachinePhase::up, now);
   state_.needs_cycle = true;
   log_.machine_restored(machine, job);
 }
 
 bool FailureTracker::may_probe(Job& job, Time now) {
   // A replica that keeps running shows that the service is well.
-  if (job.spec.kind == JobKind::service && job.running > 0 && now - job.not_before > replica_trusted_after) {
+  if (job.spec.kind == JobKind::service && job.running > 0 && now - job.not_before > replica_healthy_after) {
     clear_suspicion(job, ClearReason::replica_keeps_running);
     return true;
   }
--- a/src/core/scheduler/heartbeat_reconciler.cpp
+++ b/src/core/scheduler/heartbeat_reconciler.cpp
@@ -7,21 +7,21 @@
 namespace martenwall {
 
 namespace {
-constexpr double drift_allowance = 1.001;          // of a worker's clock against this one
-constexpr Duration tombstone_life = seconds(600);  // of released machines and finished jobs
+constexpr double max_clock_drift_factor = 1.001;        // of a worker's clock against this one
+constexpr Duration tombstone_retention = seconds(600);  // of released machines and finished jobs
 }  // namespace
 
 // After so long without an answer a worker's lease has surely expired.
-Duration HeartbeatReconciler::lease_bound() const {
-  return seconds(options_.terms.lease_s * drift_allowance) + options_.policy.margin;
+Duration HeartbeatReconciler::max_lease_duration() const {
+  return seconds(options_.timings.lease_s * max_clock_drift_factor) + options_.policy.lease_margin;
 }
 
-Machine& HeartbeatReconciler::reporting_machine(const Heartbeat& heartbeat, Time now) {
+Machine& HeartbeatReconciler::upsert_machine(const Heartbeat& heartbeat, Time now) {
   auto [it, added] = state_.machines.try_emplace(heartbeat.machine, heartbeat.machine);
   Machine& machine = it->second;
   if (added) {
     machine.first_known = machine.idle_since = now;
-    machine.lease_renewed_at = std::max(now, options_.old_leader_until);
+    machine.lease_renewed_at = std::max(now, options_.previous_leader_valid_until);
   }
   machine.addr = heartbeat.addr;
   machine.type = heartbeat.type;
@@ -32,9 +32,9 @@
 
 HeartbeatReconciler::Result HeartbeatReconciler::on_heartbeat(const Heartbeat& heartbeat, StatusSource source,
                                                               Time now) {
-  const bool by_itself = source == StatusSource::heartbeat;
+  const bool is_heartbeat = source == StatusSource::heartbeat;
   if (state_.released_machines.contains(heartbeat.machine)) return {};
-  Machine& machine = reporting_machine(heartbeat, now);
+  Machine& machine = upsert_machine(heartbeat, now);
   // Held in the network, a heartbeat of an incarnation that has surely ended must not revive its tasks.
   if (heartbeat.incarnation <= machine.ended_incarnation) return {};
   const bool same_incarnation = heartbeat.incarnation == machine.incarnation;
@@ -42,18 +42,18 @@
       heartbeat.incarnation > machine.incarnation || (same_incarnation && heartbeat.sequence > machine.sequence);
   // Heartbeats can be held in the network: an older one says nothing about now. The newest one may come twice, where a
   // node that forwards it did not get the answer: what it is to be answered stands as it did.
-  if (machine.has_reported && same_incarnation && heartbeat.sequence == machine.sequence && by_itself) {
+  if (machine.has_reported && same_incarnation && heartbeat.sequence == machine.sequence && is_heartbeat) {
     return {Outcome::repeated, &machine};
   }
   if (machine.has_reported ? !newer : heartbeat.incarnation < machine.incarnation) return {};
   machine.last_report_at = now;
-  if (by_itself) machine.last_heartbeat_at = now;
+  if (is_heartbeat) machine.last_heartbeat_at = now;
   // The incarnation can only have ended if no answer reached the worker, or if it was restarted.
   const bool was_answered =
-      machine.has_reported && now - machine.lease_renewed_at < seconds(options_.terms.lease_s / 2);
-  const bool lapsed = was_answered && heartbeat.incarnation > machine.incarnation;
+      machine.has_reported && now - machine.lease_renewed_at < seconds(options_.timings.lease_s / 2);
+  const bool lease_lapsed = was_answered && heartbeat.incarnation > machine.incarnation;
   // One heartbeat is in flight at a time: this one was sent after the answer to the last came, or was given up.
-  const bool unacknowledged = by_itself && machine.answered_by_this_leader && heartbeat.token < options_.token;
+  const bool unacknowledged = is_heartbeat && machine.answered_by_this_leader && heartbeat.token < options_.token;
   // What the store says of a machine's incarnation may be older than what it says of its tasks, or missing: until the
   // machine has reported to this leader, another incarnation proves nothing (the simulation found tasks started twice).
   if (machine.has_reported && !same_incarnation) on_new_incarnation(machine, now);
@@ -62,9 +62,10 @@
   machine.sequence = heartbeat.sequence;
   on_first_report(machine, now);
   if (heartbeat.preemption_notice_s) tasks_.on_preemption_notice(machine, *heartbeat.preemption_notice_s, now);
-  const bool took_up = apply_task_statuses(machine, heartbeat, now);
-  const bool missed = detect_missing_tasks(machine, heartbeat, source, now);
-  update_downlink(machine, heartbeat, took_up || !by_itself, lapsed || unacknowledged || missed, now);
+  const bool start_confirmed = apply_task_statuses(machine, heartbeat, now);
+  const bool start_missed = detect_missing_tasks(machine, heartbeat, source, now);
+  update_downlink(machine, heartbeat, start_confirmed || !is_heartbeat, lease_lapsed || unacknowledged || start_missed,
+                  now);
   state_.erase_removed(machine);
   return {Outcome::applied, &machine};
 }
@@ -79,7 +80,7 @@
     log_.machine_reported(machine);
   }
   if (machine.phase() == MachinePhase::booting || machine.phase() == MachinePhase::lost) {
-    machine.enter(MachinePhase::up, now);
+    machine.transition_to(MachinePhase::up, now);
     machine.idle_since = now;
     state_.needs_cycle = true;
   }
@@ -105,7 +106,7 @@
 
 // Returns whether a task is there that was not, which shows that the machine received its start.
 bool HeartbeatReconciler::apply_task_statuses(Machine& machine, const Heartbeat& heartbeat, Time now) {
-  bool took_up = false;
+  bool start_confirmed = false;
   for (const auto& status : heartbeat.tasks) {
     auto* placement = machine.find(status.task, status.attempt);
     if (placement == nullptr || placement->removed) {
@@ -113,7 +114,7 @@
       continue;
     }
     if (placement->state() == TaskState::ended) continue;
-    took_up = took_up || !placement->is_reported();
+    start_confirmed = start_confirmed || !placement->is_reported();
     placement->unconfirmed = false;
     placement->start_sequence.reset();
     if (status.state == TaskState::ended) {
@@ -122,7 +123,7 @@
       tasks_.on_progress(machine, *placement, status, now);
     }
   }
-  return took_up;
+  return start_confirmed;
 }
 
 // Returns whether something is missing that the answer to an earlier heartbeat told the worker to start.
@@ -130,16 +131,16 @@
                                                Time now) {
   std::set<std::pair<TaskId, Attempt>> present;
   for (const auto& status : heartbeat.tasks) present.emplace(status.task, status.attempt);
-  bool missed = false;
+  bool start_missed = false;
   for (auto& placement : machine.placements) {
     if (placement.removed || present.contains({placement.task, placement.attempt})) continue;
-    missed = apply_absence(machine, placement, heartbeat, source, now) || missed;
+    start_missed = apply_absence(machine, placement, heartbeat, source, now) || start_missed;
     const bool waits_for_start = !placement.removed && !placement.is_reported() && !placement.unconfirmed;
     if (waits_for_start && placement.stop_requested && !placement.start_in_flight()) {
       tasks_.release_placement(machine, placement, ReleaseReason::withdrawn, now);
     }
   }
-  return missed;
+  return start_missed;
 }
 
 // What follows from a heartbeat that does not name this placement. Returns whether it refutes a start that was sent.
@@ -166,27 +167,27 @@
 
 // What was not started on an unreachable machine, and cannot start late either, goes elsewhere; what runs there is lost
 // only when its incarnation ends, which heartbeats tell.
-void HeartbeatReconciler::update_downlink(Machine& machine, const Heartbeat& heartbeat, bool confirmed, bool missed,
-                                          Time now) {
-  const auto before = machine.downlink.state();
-  machine.downlink.on_heartbeat(heartbeat.incarnation, lease_bound(), now);
-  if (confirmed) machine.downlink.on_delivery_confirmed(now);
-  if (missed && !confirmed) machine.downlink.on_delivery_missed(now);
-  if (machine.downlink.state() != before) {
+void HeartbeatReconciler::update_downlink(Machine& machine, const Heartbeat& heartbeat, bool delivery_confirmed,
+                                          bool start_missed, Time now) {
+  const auto previous = machine.downlink.state();
+  machine.downlink.on_heartbeat(heartbeat.incarnation, max_lease_duration(), now);
+  if (delivery_confirmed) machine.downlink.on_delivery_confirmed(now);
+  if (start_missed && !delivery_confirmed) machine.downlink.on_delivery_missed(now);
+  if (machine.downlink.state() != previous) {
     state_.needs_cycle = true;
-    if (machine.downlink.is_unreachable() || before == DownlinkState::unreachable) log_.machine_downlink(machine);
+    if (machine.downlink.is_unreachable() || previous == DownlinkState::unreachable) log_.machine_downlink(machine);
   }
   if (!machine.downlink.is_reachable()) state_.machines_to_command.insert(machine.id);
   if (!machine.downlink.is_unreachable()) return;
   for (auto& placement : machine.placements) {
-    const bool can_start = placement.is_reported() || placement.start_in_flight() || placement.unconfirmed;
-    if (placement.occupies() && !can_start) {
+    const bool may_be_on_machine = placement.is_reported() || placement.start_in_flight() || placement.unconfirmed;
+    if (placement.occupies() && !may_be_on_machine) {
       tasks_.release_placement(machine, placement, ReleaseReason::downlink_unreachable, now);
     }
   }
 }
 
-std::size_t HeartbeatReconciler::heartbeats_since(Time since) const {
+std::size_t HeartbeatReconciler::count_machines_reporting_since(Time since) const {
   return static_cast<std::size_t>(std::ranges::count_if(state_.machines, [&](const auto& entry) {
     return entry.second.has_reported && entry.second.last_heartbeat_at >= since;
   }));
@@ -202,10 +203,11 @@
 // An earlier leader's tasks on an unreachable machine would count as there for as long as it is "answered": it never
 // shows that it knows this fencing token. Left without answers its lease has surely expired soon, and they can start
 // elsewhere.
-bool HeartbeatReconciler::must_not_be_answered(const MachineId& id) const {
+bool HeartbeatReconciler::must_withhold_response(const MachineId& id) const {
   const auto it = state_.machines.find(id);
   if (it == state_.machines.end() || !it->second.downlink.is_unreachable()) return false;
-  return std::ranges::any_of(it->second.placements, [](const Placement& p) { return p.unconfirmed && p.occupies(); });
+  return std::ranges::any_of(it->second.placements,
+                             [](const Placement& placement) { return placement.unconfirmed && placement.occupies(); });
 }
 
 // ---- lease expiry ----
@@ -222,7 +224,7 @@
 // PROTOCOL: the worker has killed everything by now.
 void HeartbeatReconciler::on_lease_expired(Machine& machine, Time now) {
   log_.machine_lost(machine);
-  machine.enter(MachinePhase::lost, now);
+  machine.transition_to(MachinePhase::lost, now);
   machine.ended_incarnation = machine.incarnation;
   for (auto& placement : machine.placements) {
     if (placement.occupies()) tasks_.release_placement(machine, placement, ReleaseReason::lease_expired, now);
@@ -233,13 +235,13 @@
 }
 
 void HeartbeatReconciler::expire_leases(Time now) {
-  const Duration lease = lease_bound();
+  const Duration max_lease = max_lease_duration();
   for (auto& [id, machine] : state_.machines) {
     if (machine.phase() == MachinePhase::booting || machine.phase() == MachinePhase::lost) continue;
     // One that is being released stays in its phase: it is looked at once, not each cycle until it is gone.
     if (machine.phase() == MachinePhase::releasing && machine.placements.empty()) continue;
-    if (now <= machine.lease_renewed_at + lease) continue;
-    if (now <= machine.incarnation_known_since + lease) {
+    if (now <= machine.lease_renewed_at + max_lease) continue;
+    if (now <= machine.incarnation_known_since + max_lease) {
       // Unanswered, an incarnation lasts for a lease from its beginning, which was perhaps a moment ago: what this
       // leader placed in it is there (`ran_twice` in the simulation, on a machine with a lost downlink). Earlier
       // leaders' work is not: of incarnations that began later they knew nothing.
@@ -248,9 +250,9 @@
     }
     on_lease_expired(machine, now);
   }
-  std::erase_if(state_.released_machines, [&](const auto& entry) { return now - entry.second > tombstone_life; });
+  std::erase_if(state_.released_machines, [&](const auto& entry) { return now - entry.second > tombstone_retention; });
   std::erase_if(state_.finished_jobs, [&](const auto& entry) {
-    return now - entry.second > tombstone_life && !state_.jobs.contains(entry.first);
+    return now - entry.second > tombstone_retention && !state_.jobs.contains(entry.first);
   });
 }
 
--- a/src/core/scheduler/heartbeat_reconciler.hpp
+++ b/src/core/scheduler/heartbeat_reconciler.hpp
@@ -25,23 +25,24 @@
   // A 200, which renews the worker's lease, is about to be sent to the machine.
   void on_heartbeat_answered(const MachineId& id, Time now);
   // Whether the machine must not be answered, so that its worker's lease expires.
-  [[nodiscard]] bool must_not_be_answered(const MachineId& id) const;
+  [[nodiscard]] bool must_withhold_response(const MachineId& id) const;
   // Machines that sent a heartbeat by themselves since then.
-  [[nodiscard]] std::size_t heartbeats_since(Time since) const;
+  [[nodiscard]] std::size_t count_machines_reporting_since(Time since) const;
   // Gives up what was placed on machines whose worker's lease has surely expired.
   void expire_leases(Time now);
 
  private:
-  Machine& reporting_machine(const Heartbeat& heartbeat, Time now);
+  Machine& upsert_machine(const Heartbeat& heartbeat, Time now);
   void on_first_report(Machine& machine, Time now);
   void on_new_incarnation(Machine& machine, Time now);
   bool apply_task_statuses(Machine& machine, const Heartbeat& heartbeat, Time now);
   bool detect_missing_tasks(Machine& machine, const Heartbeat& heartbeat, StatusSource source, Time now);
   bool apply_absence(Machine& machine, Placement& placement, const Heartbeat& heartbeat, StatusSource source, Time now);
-  void update_downlink(Machine& machine, const Heartbeat& heartbeat, bool confirmed, bool missed, Time now);
+  void update_downlink(Machine& machine, const Heartbeat& heartbeat, bool delivery_confirmed, bool start_missed,
+                       Time now);
   void release_unconfirmed(Machine& machine, Time now);
   void on_lease_expired(Machine& machine, Time now);
-  [[nodiscard]] Duration lease_bound() const;
+  [[nodiscard]] Duration max_lease_duration() const;
 
   ClusterState& state_;
   const SchedulerOptions& options_;
--- a/src/core/scheduler/job_completion.cpp
+++ b/src/core/scheduler/job_completion.cpp
@@ -5,7 +5,7 @@
 void JobCompletion::finish(Job& job, JobPhase phase, Time now) {
   const bool cancelled = phase == JobPhase::cancelled;
   if (cancelled && job.failures > 0) failures_.forget_failures_of(job, now);
-  job.enter(phase);
+  job.transition_to(phase);
   dependencies_.remove(job);
   if (cancelled) dependencies_.recompute_urgency(job);
   state_.finished_jobs[job.spec.id] = now;
@@ -28,7 +28,7 @@
     record_.cancelled(spec.job_class, spec.team);
     return;
   }
-  const bool missed = targets_.misses_last(job, now);
+  const bool missed = targets_.misses_loosest_target(job, now);
   record_.done(spec.job_class, spec.team, !job.late_counted && !missed);
   if (!job.late_counted && missed) record_.missed(spec.job_class, spec.team);
 }
--- a/src/core/scheduler/leader_log.cpp
+++ b/src/core/scheduler/leader_log.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::size_t most_ids = 5;  // of a list of jobs; the rest is counted
+constexpr std::size_t max_ids = 5;  // of a list of jobs; the rest is counted
 
-// Comma-separated, at most `most_ids` of them.
-std::string ids_text(const std::set<JobId>& ids) {
+// Comma-separated, at most `max_ids` of them.
+std::string join_ids(const std::set<JobId>& ids) {
   std::string out;
   std::size_t written = 0;
   for (const auto& id : ids) {
-    if (written++ == most_ids) break;
+    if (written++ == max_ids) break;
     out += (out.empty() ? "" : ",") + id.value();
   }
   return out;
@@ -82,7 +82,7 @@
 
 void LeaderLog::job_blocked(const Job& job) const {
   sink_(fmt::format("job blocked job={} dependencies={} on={}", job.spec.id.value(), job.open_dependencies.size(),
-                    ids_text(job.open_dependencies)));
+                    join_ids(job.open_dependencies)));
 }
 
 void LeaderLog::job_unblocked(const Job& job, Time now) const {
@@ -91,7 +91,7 @@
 
 void LeaderLog::dependents_cancelled(const JobId& root, const std::set<JobId>& dependents) const {
   sink_(fmt::format("dependents cancelled job={} count={} jobs={}", root.value(), dependents.size(),
-                    ids_text(dependents)));
+                    join_ids(dependents)));
 }
 
 void LeaderLog::job_suspected(const Job& job) const {
@@ -108,19 +108,19 @@
 
 void LeaderLog::task_placed(const Placement& placement, const Machine& machine, bool image_cached,
                             double waited_s) const {
-  if (!each_task_) return;
+  if (!log_each_task_) return;
   sink_(fmt::format("task placed task={} attempt={} machine={} image={} waited_s={:.3f}", to_string(placement.task),
                     placement.attempt.value(), machine.id.value(), image_cached ? "cached" : "absent", waited_s));
 }
 
 void LeaderLog::task_running(const Placement& placement, const Machine& machine, Time now) const {
-  if (!each_task_) return;
+  if (!log_each_task_) return;
   sink_(fmt::format("task running task={} machine={} after_s={:.3f}", to_string(placement.task), machine.id.value(),
                     to_seconds(now - placement.placed_at)));
 }
 
 void LeaderLog::task_ended(const Placement& placement, const Machine& machine, bool checkpointed) const {
-  if (!each_task_ && placement.cause == ExitCause::done) return;
+  if (!log_each_task_ && placement.cause == ExitCause::done) return;
   sink_(fmt::format("task ended task={} machine={} cause={}{}", to_string(placement.task), machine.id.value(),
                     name_of(placement.cause), checkpointed ? " checkpointed=true" : ""));
 }
@@ -193,7 +193,7 @@
 }
 
 void LeaderLog::task_summary(const TaskCounts& counts) const {
-  sink_(fmt::format("tasks placed={} began={} ended={} completed={}", counts.placed, counts.began, counts.ended,
+  sink_(fmt::format("tasks placed={} began={} ended={} completed={}", counts.placed, counts.started, counts.ended,
                     counts.completed));
 }
 
--- a/src/core/scheduler/leader_log.hpp
+++ b/src/core/scheduler/leader_log.hpp
@@ -61,7 +61,7 @@
 
 // What happened to tasks since the last summary.
 struct TaskCounts {
-  std::size_t placed = 0, began = 0, ended = 0, completed = 0;
+  std::size_t placed = 0, started = 0, ended = 0, completed = 0;
 };
 
 // A sample of the fleet and of the work without a place.
@@ -74,8 +74,9 @@
 class LeaderLog {
  public:
   using Sink = std::function<void(const std::string&)>;
-  // `each_task`: also each task's placement, beginning and ordinary end, which a large fleet has hundreds of a second.
-  LeaderLog(Sink sink, bool each_task) : sink_(std::move(sink)), each_task_(each_task) {}
+  // `log_each_task`: also each task's placement, beginning and ordinary end, which a large fleet has hundreds of a
+  // second.
+  LeaderLog(Sink sink, bool log_each_task) : sink_(std::move(sink)), log_each_task_(log_each_task) {}
 
   void job_accepted(const Job& job) const;
   void job_running(const Job& job, Time now) const;  // all of its tasks have begun
@@ -111,7 +112,7 @@
 
  private:
   Sink sink_;
-  bool each_task_;
+  bool log_each_task_;
 };
 
 }  // namespace martenwall
--- a/src/core/scheduler/machine_inventory.cpp
+++ b/src/core/scheduler/machine_inventory.cpp
@@ -5,14 +5,14 @@
 
 namespace martenwall {
 
-Machine& MachineInventory::listed_machine(const ListedMachine& listed, Time now) {
+Machine& MachineInventory::upsert_machine(const ListedMachine& listed, Time now) {
   auto [it, added] = state_.machines.try_emplace(listed.id, listed.id);
   Machine& machine = it->second;
   if (added) {
     // Hired by an earlier leader, or by a request that was executed late: used like any other.
     machine.first_known = now - seconds(listed.age_s);
     machine.last_report_at = machine.idle_since = now;
-    machine.lease_renewed_at = std::max(now, options_.old_leader_until);
+    machine.lease_renewed_at = std::max(now, options_.previous_leader_valid_until);
     log_.machine_discovered(listed.id);
   }
   if (machine.addr.empty()) {
@@ -24,20 +24,21 @@
   return machine;
 }
 
-void MachineInventory::on_list(const std::vector<ListedMachine>& list, Time asked, Duration lag, Time now) {
+void MachineInventory::on_list(const std::vector<ListedMachine>& list, Time requested_at, Duration max_staleness,
+                               Time now) {
   std::set<MachineId> present;
   for (const auto& listed : list) {
     present.insert(listed.id);
     if (state_.released_machines.contains(listed.id)) continue;
-    Machine& machine = listed_machine(listed, now);
-    if (!machine.listed_at) machine.listed_at = asked;
+    Machine& machine = upsert_machine(listed, now);
+    if (!machine.listed_at) machine.listed_at = requested_at;
     const bool failed = listed.phase == ListedMachine::Phase::failed;
     if (failed && machine.phase() != MachinePhase::releasing) on_failed(machine, now);
   }
   std::vector<MachineId> vanished;
   for (const auto& [id, machine] : state_.machines) {
     // Listed once, it stays listed until it is gone; but a list can be older than one before it.
-    const bool was_listed = machine.listed_at && asked - *machine.listed_at > 2 * lag + seconds(2);
+    const bool was_listed = machine.listed_at && requested_at - *machine.listed_at > 2 * max_staleness + seconds(2);
     if (was_listed && !present.contains(id)) vanished.push_back(id);
   }
   for (const auto& id : vanished) remove(id, RemovalReason::vanished, now);
@@ -49,7 +50,7 @@
     placement.removed = true;
   }
   state_.erase_removed(machine);
-  machine.enter(MachinePhase::releasing, now);
+  machine.transition_to(MachinePhase::releasing, now);
 }
 
 void MachineInventory::on_released(const std::vector<MachineId>& ids, Time now) {
--- a/src/core/scheduler/machine_inventory.hpp
+++ b/src/core/scheduler/machine_inventory.hpp
@@ -13,11 +13,11 @@
       : state_(state), options_(options), rows_(rows), tasks_(tasks), log_(log) {}
 
   // The cloud's list, asked for at `asked`; it may be older than that by `lag`.
-  void on_list(const std::vector<ListedMachine>& list, Time asked, Duration lag, Time now);
+  void on_list(const std::vector<ListedMachine>& list, Time requested_at, Duration max_staleness, Time now);
   void on_released(const std::vector<MachineId>& ids, Time now);
 
  private:
-  Machine& listed_machine(const ListedMachine& listed, Time now);
+  Machine& upsert_machine(const ListedMachine& listed, Time now);
   void on_failed(Machine& machine, Time now);
   void remove(const MachineId& id, RemovalReason reason, Time now);
 
--- a/src/core/scheduler/placement_stage.cpp
+++ b/src/core/scheduler/placement_stage.cpp
@@ -8,17 +8,20 @@
 
 namespace {
 
-constexpr std::size_t max_cells = 200'000;  // of the matrix: jobs beyond wait for the next cycle
+constexpr std::size_t max_matrix_cells = 200'000;  // of the matrix: jobs beyond wait for the next cycle
 constexpr std::size_t min_jobs = 100;
-constexpr std::uint32_t max_window = 4000;  // indices between an array's lowest unfinished task and its last started
-constexpr Duration begin_patience = seconds(120);  // half of the time within which the largest jobs too are to begin
-constexpr double slow_fetch = 1.33;                // PROTOCOL: fetches take their time give or take a third
-constexpr double slack = 1e-6;                     // of sums of floating-point amounts
-
-bool goes_before(const PendingJob& a, const PendingJob& b) {
+constexpr std::uint32_t max_array_window =
+    4000;  // indices between an array's lowest unfinished task and its last started
+constexpr Duration start_overdue_after =
+    seconds(120);                               // half of the time within which the largest jobs too are to begin
+constexpr double max_fetch_time_factor = 1.33;  // PROTOCOL: fetches take their time give or take a third
+constexpr double rounding_tolerance = 1e-6;     // of sums of floating-point amounts
+
+bool is_placed_before(const PendingJob& a, const PendingJob& b) {
   if (a.job->suspect != b.job->suspect) return b.job->suspect;
   if (a.job->priority != b.job->priority) return a.job->priority > b.job->priority;
-  if (a.expected_misses != b.expected_misses) return a.expected_misses < b.expected_misses;
+  if (a.expected_missed_targets != b.expected_missed_targets)
+    return a.expected_missed_targets < b.expected_missed_targets;
   if (a.within_guarantee != b.within_guarantee) return a.within_guarantee;
   return a.job->ready_at < b.job->ready_at;
 }
@@ -26,11 +29,11 @@
 // An array of which nothing began for long is about its first task alone, so that it costs the others next to nothing.
 void boost_first_task(PendingJob& pending, Time now) {
   const auto& job = *pending.job;
-  const bool began = job.next_attempt > 1 || job.spec.kind == JobKind::gang || job.suspect || pending.spot_only;
-  if (began || now - job.ready_at < begin_patience) return;
+  const bool has_started = job.next_attempt > 1 || job.spec.kind == JobKind::gang || job.suspect || pending.spot_only;
+  if (has_started || now - job.ready_at < start_overdue_after) return;
   pending.begin_overdue = true;
   pending.count = 1;
-  pending.expected_misses = 0;
+  pending.expected_missed_targets = 0;
 }
 
 }  // namespace
@@ -41,7 +44,7 @@
 std::set<JobId> PlacementStage::jobs_within_guarantee() const {
   std::map<std::string, std::vector<const Job*>> by_team;
   for (const auto& [id, job] : state_.jobs) {
-    if (!is_final(job.phase) && job.phase != JobPhase::waiting) by_team[job.spec.team].push_back(&job);
+    if (!is_final(job.phase) && job.phase != JobPhase::blocked) by_team[job.spec.team].push_back(&job);
   }
   std::set<JobId> out;
   for (auto& [name, jobs] : by_team) {
@@ -53,8 +56,8 @@
     Resources sum;
     for (const auto* job : jobs) {
       sum.add(job->spec.need, job->unfinished());
-      const bool beyond_cpus = guarantee.cpus > 0 && sum.cpus > guarantee.cpus + slack;
-      const bool beyond_gpus = guarantee.gpus > 0 && sum.gpus > guarantee.gpus + slack;
+      const bool beyond_cpus = guarantee.cpus > 0 && sum.cpus > guarantee.cpus + rounding_tolerance;
+      const bool beyond_gpus = guarantee.gpus > 0 && sum.gpus > guarantee.gpus + rounding_tolerance;
       if (beyond_cpus || beyond_gpus) break;
       out.insert(job->spec.id);
     }
@@ -73,8 +76,8 @@
       fetch_s = std::max(fetch_s, job.spec.image_gb / type.fetch_gb_per_s);
     }
   }
-  const double wait_s = options_.terms.gang_wait_s;
-  return fetch_s * slow_fetch > wait_s && now - job.waiting_since < seconds(2 * wait_s);
+  const double wait_s = options_.timings.gang_wait_s;
+  return fetch_s * max_fetch_time_factor > wait_s && now - job.waiting_since < seconds(2 * wait_s);
 }
 
 // Best-effort work that may use spot machines leaves the ordinary ones to those who may not: there it would be
@@ -83,20 +86,19 @@
 bool PlacementStage::is_restricted_to_spot(const Job& job, bool any_spot, Time now) const {
   if (!job.spec.spot || !state_.is_best_effort(job)) return false;
   const auto& policy = options_.policy;
-  return now - job.ready_at <
-         (any_spot ? policy.best_effort_spot_patience : policy.best_effort_spot_patience_without_spot);
+  return now - job.ready_at < (any_spot ? policy.best_effort_spot_wait : policy.best_effort_spot_wait_without_spot);
 }
 
 // How many tasks of the job may be placed now.
 std::uint32_t PlacementStage::placeable_tasks(Job& job, Time now) {
-  if (is_final(job.phase) || job.phase == JobPhase::waiting || now < job.not_before) return 0;
+  if (is_final(job.phase) || job.phase == JobPhase::blocked || now < job.not_before) return 0;
   const bool gang = job.spec.kind == JobKind::gang;
   std::uint32_t count = job.pending_tasks();
   if (gang && (!job.placed.empty() || count < job.spec.tasks)) return 0;
   const auto first = job.done.lowest_unfinished();
-  if (job.next_unstarted > first + max_window) count = static_cast<std::uint32_t>(job.requeued.size());
+  if (job.next_unstarted > first + max_array_window) count = static_cast<std::uint32_t>(job.requeued.size());
   if (count == 0) return 0;
-  if (!gang) count = std::min(count, max_window);
+  if (!gang) count = std::min(count, max_array_window);
   if (job.suspect) {
     if (!failures_.may_probe(job, now)) return 0;
     if (job.suspect && !gang) count = 1;
@@ -117,37 +119,37 @@
   if (options_.policy.begin_weight > 0) {
     for (auto& pending : problem.jobs) boost_first_task(pending, now);
   }
-  std::ranges::stable_sort(problem.jobs, goes_before);
+  std::ranges::stable_sort(problem.jobs, is_placed_before);
 }
 
 void PlacementStage::add_machines(PlacementProblem& problem, Time now) {
   // A machine without room for even the smallest need costs nothing further.
-  Resources least{1e18, 1e18, 1e18};
-  for (const auto& pending : problem.jobs) least = least.least(pending.job->spec.need);
+  Resources min_need{1e18, 1e18, 1e18};
+  for (const auto& pending : problem.jobs) min_need = min_need.component_min(pending.job->spec.need);
   for (auto& [id, machine] : state_.machines) {
-    const bool reservation_over =
+    const bool reservation_expired =
         machine.reserved_for && (now >= machine.reserved_until || !state_.jobs.contains(*machine.reserved_for));
-    if (reservation_over) machine.reserved_for.reset();
+    if (reservation_expired) machine.reserved_for.reset();
     const auto tasks = machine.placements.size();
     if (!state_.accepts_new_tasks(machine, now) || tasks >= options_.max_tasks_per_machine) continue;
     const auto* type = state_.find_type(machine.type);
     if (type == nullptr) continue;
-    Resources free = type->room;
+    Resources free = type->capacity;
     free.add(machine.used, -1);
-    if (!least.fits_in(free)) continue;
+    if (!min_need.fits_in(free)) continue;
     problem.add({&machine, type, free, options_.max_tasks_per_machine - tasks, Priority::best_effort});
   }
 }
 
 PlacementProblem PlacementStage::build_problem(Time now) {
   PlacementProblem problem{now, options_.policy, {}, {}};
-  problem.idle_granularity_s = options_.terms.heartbeat_interval_s;
+  problem.idle_granularity_s = options_.timings.heartbeat_interval_s;
   add_pending_jobs(problem, now);
   add_machines(problem, now);
-  const auto most = std::max(min_jobs, max_cells / std::max<std::size_t>(1, problem.machines.size()));
+  const auto max_jobs = std::max(min_jobs, max_matrix_cells / std::max<std::size_t>(1, problem.machines.size()));
   // The others' turn comes in the next cycle.
-  state_.needs_cycle = problem.jobs.size() > most;
-  if (state_.needs_cycle) problem.jobs.resize(most);
+  state_.needs_cycle = problem.jobs.size() > max_jobs;
+  if (state_.needs_cycle) problem.jobs.resize(max_jobs);
   return problem;
 }
 
@@ -181,7 +183,7 @@
     log_.task_placed(placement, machine, machine.has_image(job.image), to_seconds(now - job.waiting_since));
     placement.generation = rows_.mark_dirty(job, *index, Duration{0}, now);
     state_.add_placement(machine, std::move(placement));
-    job.take(*index, machine.id);
+    job.assign(*index, machine.id);
     machine.touch_image(job.image, job.spec.image_gb, problem.machines[column].type->cache_gb, false);
     if (machine.reserved_for == job.spec.id) machine.reserved_for.reset();
   }
--- a/src/core/scheduler/preemptor.cpp
+++ b/src/core/scheduler/preemptor.cpp
@@ -11,16 +11,16 @@
 namespace {
 // Bounds on the work of one cycle; other jobs' turn comes in the next.
 constexpr std::size_t max_preemptions = 24;
-constexpr std::size_t max_tries = 48;
-constexpr std::size_t min_tries = 4;
-constexpr std::size_t max_machines_tried = 150'000;  // looked at in all tries together
-constexpr Duration retry_after = seconds(0.2);       // where nothing could be stopped for a job
-constexpr double min_preemption_s = 4;               // checkpoint, stop and start take at least so long
-constexpr double start_allowance_s = 8;              // beyond the checkpoints, until the room is given to others
+constexpr std::size_t max_attempts = 48;
+constexpr std::size_t min_attempts = 4;
+constexpr std::size_t max_machine_evaluations = 150'000;  // looked at in all tries together
+constexpr Duration retry_delay = seconds(0.2);            // where nothing could be stopped for a job
+constexpr double min_preemption_time_s = 4;               // checkpoint, stop and start take at least so long
+constexpr double start_allowance_s = 8;                   // beyond the checkpoints, until the room is given to others
 }  // namespace
 
 // When the job could start without stopping anything; nothing where no room is coming.
-std::optional<Time> Preemptor::capacity_expected(const Job& job, Time now) const {
+std::optional<Time> Preemptor::earliest_start_without_preemption(const Job& job, Time now) const {
   if (!job.capacity_expected_at) return std::nullopt;
   return std::max(now, *job.capacity_expected_at) + seconds(state_.fetch_time_s(job.spec));
 }
@@ -28,13 +28,13 @@
 // Stopping others is worth its cost where it meets a target that waiting misses, or where no room is coming.
 bool Preemptor::should_wait_for_capacity(const PendingJob& pending, Time now) const {
   const auto& job = *pending.job;
-  const auto expected = capacity_expected(job, now);
+  const auto expected = earliest_start_without_preemption(job, now);
   if (!expected) return false;
   if (!targets_.has_start_targets(job) && !pending.within_guarantee) return false;
-  const Time soonest = now + seconds(min_preemption_s);
+  const Time earliest_start = now + seconds(min_preemption_time_s);
   return std::ranges::none_of(targets_.start_targets(job, pending.within_guarantee), [&](double within_s) {
     const Time due = job.ready_at + seconds(within_s);
-    return soonest <= due && *expected > due;
+    return earliest_start <= due && *expected > due;
   });
 }
 
@@ -43,7 +43,7 @@
   for (const auto& placement : entry.machine->placements) {
     if (!placement.occupies()) continue;
     if (placement.stop_requested) {
-      entry.room.add(placement.need);
+      entry.free.add(placement.need);
       continue;
     }
     const auto [known, added] = lookup.jobs.try_emplace(placement.task.job);
@@ -56,7 +56,7 @@
     entry.victims.push_back({&placement, job, guaranteed, lookup.teams_over_guarantee.contains(placement.team),
                              lost_work_s(options_.policy, spec, *entry.type, placement, now)});
   }
-  std::ranges::stable_sort(entry.victims, {}, &Victim::lost);
+  std::ranges::stable_sort(entry.victims, {}, &Victim::lost_gpu_s);
 }
 
 VictimTable Preemptor::victims(const PlacementProblem& problem, Time now) {
@@ -68,8 +68,8 @@
   for (auto& [id, machine] : state_.machines) {
     const auto* type = state_.find_type(machine.type);
     if (type == nullptr || !state_.accepts_new_tasks(machine, now)) continue;
-    VictimMachine entry{&machine, type, type->room, {}};
-    entry.room.add(machine.used, -1);
+    VictimMachine entry{&machine, type, type->capacity, {}};
+    entry.free.add(machine.used, -1);
     add_victims(entry, lookup, now);
     table.push_back(std::move(entry));
   }
@@ -87,44 +87,44 @@
 std::size_t Preemptor::run(PlacementProblem& problem, Time now) {
   std::erase_if(reserved_until_, [&](const auto& entry) { return entry.second <= now; });
   std::optional<VictimTable> table;
-  std::size_t victims_seen = 0;
+  std::size_t candidate_count = 0;
   std::size_t preemptions_left = max_preemptions;
-  std::size_t tries_left = max_tries;
+  std::size_t attempts_left = max_attempts;
   for (auto& pending : problem.jobs) {
-    if (preemptions_left == 0 || tries_left == 0) break;
+    if (preemptions_left == 0 || attempts_left == 0) break;
     if (!may_preempt_for(pending, now)) continue;
     const auto& spec = pending.job->spec;
-    const auto room = state_.quota_usage.room_for(spec.team, spec.need);
-    const std::uint32_t wanted = spec.kind == JobKind::gang ? spec.tasks : std::min(pending.count, room);
-    if (wanted == 0 || room < wanted) continue;
+    const auto headroom = state_.quota_usage.max_additional_tasks(spec.team, spec.need);
+    const std::uint32_t needed = spec.kind == JobKind::gang ? spec.tasks : std::min(pending.count, headroom);
+    if (needed == 0 || headroom < needed) continue;
     if (!table) {
       table = victims(problem, now);
-      for (const auto& entry : *table) victims_seen += entry.victims.size();
-      const auto affordable = max_machines_tried / std::max<std::size_t>(1, table->size());
-      tries_left = std::min(tries_left, std::max(min_tries, affordable));
+      for (const auto& entry : *table) candidate_count += entry.victims.size();
+      const auto affordable = max_machine_evaluations / std::max<std::size_t>(1, table->size());
+      attempts_left = std::min(attempts_left, std::max(min_attempts, affordable));
     }
-    --tries_left;
-    const auto zones = spec.one_zone || spec.spread ? zones_of(*pending.job, state_.machines) : ZoneCounts{};
-    const auto plan = plan_preemption(*table, pending, wanted, zones);
+    --attempts_left;
+    const auto zones = spec.one_zone || spec.spread ? count_tasks_by_zone(*pending.job, state_.machines) : ZoneCounts{};
+    const auto plan = plan_preemption(*table, pending, needed, zones);
     if (!plan) {
-      pending.job->preempt_after = now + retry_after;
+      pending.job->preempt_after = now + retry_delay;
       continue;
     }
     --preemptions_left;
     apply(*plan, pending, now);
   }
-  return victims_seen;
+  return candidate_count;
 }
 
 void Preemptor::apply(const PreemptionPlan& plan, const PendingJob& pending, Time now) {
   const auto& beneficiary = pending.job->spec.id;
   const StopCause cause{StopReason::preempted, &beneficiary};
-  double longest_grace_s = 0;
+  double max_grace_s = 0;
   for (const auto& [machine_id, task] : plan.victims) {
     Job* victim = state_.find_job(task.job);
     if (victim == nullptr) continue;
     const double victim_grace_s = grace_s(options_.policy, victim->spec);
-    longest_grace_s = std::max(longest_grace_s, victim_grace_s);
+    max_grace_s = std::max(max_grace_s, victim_grace_s);
     // A gang is stopped whole and in order; of an array, only the chosen task.
     if (victim->spec.kind == JobKind::gang) {
       tasks_.stop_gracefully(*victim, cause, now);
@@ -137,7 +137,7 @@
       }
     }
   }
-  const Time until = now + seconds(longest_grace_s + start_allowance_s);
+  const Time until = now + seconds(max_grace_s + start_allowance_s);
   // Removed placements are not erased here: the table of victims points at them until the end of the cycle.
   for (auto* machine : plan.machines) {
     machine->reserved_for = beneficiary;
--- a/src/core/scheduler/preemptor.hpp
+++ b/src/core/scheduler/preemptor.hpp
@@ -39,7 +39,7 @@
   void add_victims(VictimMachine& entry, VictimLookup& lookup, Time now) const;
   [[nodiscard]] bool may_preempt_for(const PendingJob& pending, Time now) const;
   [[nodiscard]] bool should_wait_for_capacity(const PendingJob& pending, Time now) const;
-  [[nodiscard]] std::optional<Time> capacity_expected(const Job& job, Time now) const;
+  [[nodiscard]] std::optional<Time> earliest_start_without_preemption(const Job& job, Time now) const;
   void apply(const PreemptionPlan& plan, const PendingJob& pending, Time now);
 
   ClusterState& state_;
--- a/src/core/scheduler/quota_enforcer.cpp
+++ b/src/core/scheduler/quota_enforcer.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr double slack = 1e-6;  // of sums of floating-point amounts
+constexpr double rounding_tolerance = 1e-6;  // of sums of floating-point amounts
 
 // A limit of 0 binds nothing. A team that is not configured may use nothing.
 bool exceeds_limit(const Team* team, const Resources& used) {
-  if (team == nullptr) return used.cpus > slack || used.gpus > slack;
-  const auto beyond = [](double limit, double amount) { return limit > 0 && amount > limit + slack; };
-  return beyond(team->limit.cpus, used.cpus) || beyond(team->limit.gpus, used.gpus);
+  if (team == nullptr) return used.cpus > rounding_tolerance || used.gpus > rounding_tolerance;
+  const auto exceeds = [](double limit, double amount) { return limit > 0 && amount > limit + rounding_tolerance; };
+  return exceeds(team->limit.cpus, used.cpus) || exceeds(team->limit.gpus, used.gpus);
 }
 
 // What is stopped first: what does not run yet, then lower priorities, then what was placed last.
@@ -30,7 +30,7 @@
 }  // namespace
 
 void QuotaEnforcer::enforce(Time now) {
-  if (!options_.limits_change) return;
+  if (!options_.quota_limits_changed) return;
   std::vector<std::string> teams;
   for (const auto& [name, used] : state_.quota_usage.all()) {
     if (exceeds_limit(state_.find_team(name), used)) teams.push_back(name);
--- a/src/core/scheduler/scheduler.cpp
+++ b/src/core/scheduler/scheduler.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr double gap_smoothing = 0.05;  // of the moving average of the time between submissions
-constexpr double longest_gap_s = 60;    // that counts in it
+constexpr double submission_interval_smoothing = 0.05;  // of the moving average of the time between submissions
+constexpr double max_submission_interval_s = 60;        // that counts in it
 
 RowFormat row_format_of(const SchedulerOptions& options) {
   return {options.range_rows, options.v1_row_size, options.range_size, options.group_size};
@@ -21,7 +21,7 @@
     : options_(std::move(options)),
       log_(std::move(log), options_.log_tasks),
       state_(options_),
-      targets_(options_.aims),
+      targets_(options_.objectives),
       dependencies_(state_, estimator_, log_),
       rows_(state_, dependencies_, row_format_of(options_)),
       failures_(state_, options_, log_),
@@ -68,25 +68,25 @@
     job.spec.team = row.team;
     job.spec.need = row.need;
     job.priority = job.spec.priority = row.priority;
-    job.enter(JobPhase::cancelled);
+    job.transition_to(JobPhase::cancelled);
     job.residual = job.end_is_stored = true;
   }
   // An attempt that was recorded was used.
   job.next_attempt = std::max(job.next_attempt, row.next_attempt);
-  job.failed_before = std::max(job.failed_before, row.failed);
+  job.failed_before = std::max(job.failed_before, row.failed_machines);
   const auto end = row.first + row.size;
-  std::set<std::uint32_t> told_by_later;  // indices that a row which begins later tells of
+  std::set<std::uint32_t> covered_by_later_rows;  // indices that a row which begins later tells of
   for (auto i = row.first; i < end; ++i) {
-    if (is_covered(job, i)) told_by_later.insert(i);
+    if (is_covered(job, i)) covered_by_later_rows.insert(i);
   }
   rows_.load_row_state(job, row);
   for (const auto& [from, to] : row.done) {
     for (auto i = from; i <= to && i < end; ++i) {
-      if (!told_by_later.contains(i)) job.done.insert(i);
+      if (!covered_by_later_rows.contains(i)) job.done.insert(i);
     }
   }
   for (const auto& placed : row.placed) {
-    if (!told_by_later.contains(placed.index)) load_placed_task(job, row, placed, now);
+    if (!covered_by_later_rows.contains(placed.index)) load_placed_task(job, row, placed, now);
   }
 }
 
@@ -100,7 +100,7 @@
   placement.need = row.need;
   placement.priority = row.priority;
   placement.unconfirmed = true;
-  placement.enter(TaskState::sent, now);
+  placement.transition_to(TaskState::sent, now);
   if (job.residual) {
     job.spec.tasks = std::max(job.spec.tasks, placed.index + 1);
     job.next_unstarted = job.spec.tasks;
@@ -110,7 +110,7 @@
     placement.stop_requested_at = now;
   }
   placement.orphan = job.placed.contains(placed.index);
-  job.hold(placed.index, machine.id);
+  job.record_placement(placed.index, machine.id);
   state_.add_placement(machine, std::move(placement));
 }
 
@@ -135,7 +135,7 @@
     if (!job.done.contains(i) && !job.placed.contains(i)) job.requeued.insert(i);
   }
   job.start_counted = job.pending_tasks() == 0;  // by an earlier leader
-  if (!job.placed.empty() || job.done.count() > 0) job.enter(JobPhase::running);
+  if (!job.placed.empty() || job.done.count() > 0) job.transition_to(JobPhase::running);
   // Where a row of its tasks is stored, an earlier leader found all that it depends on done.
   if (job.task_ranges.empty() && job.v1_rows.empty()) register_dependencies(job, now);
   failures_.review_suspicion(job, now);
@@ -147,7 +147,7 @@
   state_.teams.clear();
   for (const auto& team : teams) state_.teams[team.name] = team;
   options_.policy = policy;
-  options_.limits_change = true;
+  options_.quota_limits_changed = true;
   for (auto& [id, job] : state_.jobs) job.limit_logged = false;
   state_.needs_cycle = true;
 }
@@ -162,8 +162,9 @@
   job.image = state_.image_id(job.spec.image);
   state_.needs_cycle = true;
   if (state_.last_submission != Time{} && now > state_.last_submission) {
-    const double gap_s = std::min(to_seconds(now - state_.last_submission), longest_gap_s);
-    state_.submission_gap_s += gap_smoothing * (gap_s - state_.submission_gap_s);
+    const double interval_s = std::min(to_seconds(now - state_.last_submission), max_submission_interval_s);
+    state_.mean_submission_interval_s +=
+        submission_interval_smoothing * (interval_s - state_.mean_submission_interval_s);
   }
   state_.last_submission = std::max(state_.last_submission, now);
   log_.job_accepted(job);
@@ -183,8 +184,8 @@
   if (job == nullptr || job->residual) return std::nullopt;
   // A dependency may be cancelled, and its user told, perhaps long ago: while that is looked up, or this job's own end
   // is not stored yet, it is not called active.
-  const bool depends = !job->end_is_stored && !job->open_dependencies.empty();
-  if (depends && (dependencies_.has_open_lookups() || is_final(job->phase))) return std::nullopt;
+  const bool has_open_dependencies = !job->end_is_stored && !job->open_dependencies.empty();
+  if (has_open_dependencies && (dependencies_.has_pending_lookups() || is_final(job->phase))) return std::nullopt;
   // A transaction without an answer may have stored its end: another node reads it and tells the user, and this one
   // would call the job active after that (`went_back` on a day with late writes). The store knows.
   if (job->end_write_sent && !job->end_is_stored) return std::nullopt;
@@ -229,8 +230,8 @@
   // planned tells whether stopping others is worth it.
   cycle_size_.preemption_candidates = preemptor_.run(problem, now);
   capacity_.plan(problem, used, now);
-  if (!capacity_.sample_due(now)) return;
-  targets_.count_missed(state_, record_, now);
+  if (!capacity_.is_sample_due(now)) return;
+  targets_.record_missed(state_, record_, now);
   capacity_.record_fleet_demand(problem, rows_.queue(), now);
 }
 
--- a/src/core/scheduler/scheduler.hpp
+++ b/src/core/scheduler/scheduler.hpp
@@ -61,7 +61,7 @@
 
   // ---- Dependencies whose state is not known here (DependencyTracker). ----
   std::vector<JobId> take_lookups() { return dependencies_.take_lookups(); }
-  void on_end_looked_up(const JobId& id, JobPhase phase, Time now) { tasks_.on_job_ended(id, phase, now); }
+  void on_dependency_end_found(const JobId& id, JobPhase phase, Time now) { tasks_.on_job_ended(id, phase, now); }
   void retry_lookup(const JobId& id) { dependencies_.retry_lookup(id); }
   [[nodiscard]] bool is_cascade_stored(const JobId& id) const { return dependencies_.is_cascade_stored(id); }
 
@@ -69,9 +69,13 @@
   // Returns the commands for the response. `lease_valid`: this leader's lease is, so that starts may go out.
   std::vector<Command> on_heartbeat(const Heartbeat& heartbeat, StatusSource source, Time now, bool lease_valid);
   [[nodiscard]] bool is_released(const MachineId& id) const { return state_.released_machines.contains(id); }
-  [[nodiscard]] std::size_t heartbeats_since(Time since) const { return reconciler_.heartbeats_since(since); }
+  [[nodiscard]] std::size_t count_machines_reporting_since(Time since) const {
+    return reconciler_.count_machines_reporting_since(since);
+  }
   void on_heartbeat_answered(const MachineId& id, Time now) { reconciler_.on_heartbeat_answered(id, now); }
-  [[nodiscard]] bool must_not_be_answered(const MachineId& id) const { return reconciler_.must_not_be_answered(id); }
+  [[nodiscard]] bool must_withhold_response(const MachineId& id) const {
+    return reconciler_.must_withhold_response(id);
+  }
   std::vector<CommandBatch> take_command_batches(Time now) { return dispatcher_.take_batches(now); }
   void on_command_outcome(const CommandBatch& batch, CommandOutcome outcome, Time now) {
     dispatcher_.on_outcome(batch, outcome, now);
@@ -79,8 +83,8 @@
   [[nodiscard]] std::vector<CommandBatch> announcements() const { return dispatcher_.announcements(); }
 
   // ---- Cloud (MachineInventory, CapacityManager). ----
-  void on_machine_list(const std::vector<ListedMachine>& list, Time asked, Duration lag, Time now) {
-    inventory_.on_list(list, asked, lag, now);
+  void on_machine_list(const std::vector<ListedMachine>& list, Time requested_at, Duration max_staleness, Time now) {
+    inventory_.on_list(list, requested_at, max_staleness, now);
   }
   void on_machines_released(const std::vector<MachineId>& ids, Time now) { inventory_.on_released(ids, now); }
   std::vector<ScaleOutRequest> take_scale_out_requests() { return capacity_.take_scale_out_requests(); }
@@ -89,22 +93,24 @@
   }
   void on_scale_out_refused(const ScaleOutRequest& request, Time now) { capacity_.on_scale_out_refused(request, now); }
   void on_scale_out_abandoned(const ScaleOutRequest& request) { capacity_.on_scale_out_abandoned(request); }
-  [[nodiscard]] std::vector<MachineId> take_scale_in(Time /*now*/) const { return capacity_.scale_in_candidates(); }
+  [[nodiscard]] std::vector<MachineId> scale_in_candidates(Time /*now*/) const {
+    return capacity_.scale_in_candidates();
+  }
 
   // ---- The scheduling cycle: lease expiry, quarantine, quotas, placement, preemption, capacity. ----
   void run_cycle(Time now);
-  void expire(Time now) { reconciler_.expire_leases(now); }
+  void expire_leases(Time now) { reconciler_.expire_leases(now); }
   // Something happened since the last cycle that may change its outcome.
   [[nodiscard]] bool needs_cycle() const { return state_.needs_cycle; }
   // What the last cycle had to look at; its cost follows these.
   struct CycleSize {
     std::size_t jobs = 0, machines = 0, preemption_candidates = 0;
   };
-  [[nodiscard]] const CycleSize& last_cycle() const { return cycle_size_; }
+  [[nodiscard]] const CycleSize& last_cycle_size() const { return cycle_size_; }
 
   // ---- The store (RowTracker). ----
-  std::vector<RowWrite> take_writes(std::size_t most, bool deferrable, Time now) {
-    return rows_.take_writes(most, deferrable, now);
+  std::vector<RowWrite> take_writes(std::size_t max_rows, bool deferrable, Time now) {
+    return rows_.take_writes(max_rows, deferrable, now);
   }
   void use_range_rows(Time now) { rows_.use_range_rows(now); }
   [[nodiscard]] bool uses_range_rows() const { return rows_.uses_range_rows(); }
--- a/src/core/scheduler/scheduler_options.hpp
+++ b/src/core/scheduler/scheduler_options.hpp
@@ -11,8 +11,8 @@
 
 struct SchedulerOptions {
   Policy policy;
-  WorkerTerms terms;
-  StartAims aims;
+  WorkerTimings timings;
+  StartObjectives objectives;
   std::vector<Team> teams;
   std::size_t max_tasks_per_machine = 60;
   bool log_tasks = true;   // log each task's placement, beginning and end, not only what is out of the ordinary
@@ -22,9 +22,9 @@
   std::size_t group_size = 25;      // machines in one row of machine records
   // Scale-out requests that are not answered yet; demand beyond them is planned again when there are fewer.
   std::size_t max_pending_scale_outs = 100;
-  bool limits_change = false;  // team limits may have been lowered: what runs beyond them is stopped
-  FencingToken token;          // of this leadership
-  Time old_leader_until{};     // the last moment at which an earlier leader may have answered a worker
+  bool quota_limits_changed = false;   // team limits may have been lowered: what runs beyond them is stopped
+  FencingToken token;                  // of this leadership
+  Time previous_leader_valid_until{};  // the last moment at which an earlier leader may have answered a worker
 };
 
 }  // namespace martenwall
--- a/src/core/scheduler/service_targets.cpp
+++ b/src/core/scheduler/service_targets.cpp
@@ -6,13 +6,14 @@
 
 std::vector<double> ServiceTargets::latest_starts(const Job& job, double estimate_s, Time now) const {
   std::vector<double> out;
-  if (const auto targets = aims_.by_class.find(job.spec.job_class); targets != aims_.by_class.end()) {
+  if (const auto targets = objectives_.start_s_by_class.find(job.spec.job_class);
+      targets != objectives_.start_s_by_class.end()) {
     for (const double within_s : targets->second) out.push_back(to_seconds(job.ready_at - now) + within_s);
   }
   if (job.effective_deadline) {
     std::vector<double> multiples{1.0};
-    const auto targets = aims_.deadlines_by_class.find(job.spec.job_class);
-    if (targets != aims_.deadlines_by_class.end()) multiples = targets->second;
+    const auto targets = objectives_.deadline_multiples_by_class.find(job.spec.job_class);
+    if (targets != objectives_.deadline_multiples_by_class.end()) multiples = targets->second;
     for (const double multiple : multiples) {
       out.push_back(to_seconds(job.submitted - now) + multiple * to_seconds(*job.effective_deadline - job.submitted) -
                     estimate_s);
@@ -24,30 +25,30 @@
 
 std::vector<double> ServiceTargets::start_targets(const Job& job, bool within_guarantee) const {
   std::vector<double> out;
-  const auto targets = aims_.by_class.find(job.spec.job_class);
-  if (targets != aims_.by_class.end()) out = targets->second;
-  if (within_guarantee && aims_.guarantee_s > 0) out.push_back(aims_.guarantee_s);
+  const auto targets = objectives_.start_s_by_class.find(job.spec.job_class);
+  if (targets != objectives_.start_s_by_class.end()) out = targets->second;
+  if (within_guarantee && objectives_.guarantee_start_s > 0) out.push_back(objectives_.guarantee_start_s);
   return out;
 }
 
-bool ServiceTargets::misses_last(const Job& job, Time now) const {
+bool ServiceTargets::misses_loosest_target(const Job& job, Time now) const {
   const auto has_passed = [now](Time since, double within_s) { return to_seconds(now - since) > within_s; };
-  const auto starts = aims_.by_class.find(job.spec.job_class);
-  if (!job.start_counted && starts != aims_.by_class.end() &&
+  const auto starts = objectives_.start_s_by_class.find(job.spec.job_class);
+  if (!job.start_counted && starts != objectives_.start_s_by_class.end() &&
       has_passed(job.ready_at, std::ranges::max(starts->second))) {
     return true;
   }
   if (!job.effective_deadline) return false;
-  double longest = 1;
-  const auto ends = aims_.deadlines_by_class.find(job.spec.job_class);
-  if (ends != aims_.deadlines_by_class.end()) longest = std::ranges::max(ends->second);
-  return has_passed(job.submitted, longest * to_seconds(*job.effective_deadline - job.submitted));
+  double max_multiple = 1;
+  const auto ends = objectives_.deadline_multiples_by_class.find(job.spec.job_class);
+  if (ends != objectives_.deadline_multiples_by_class.end()) max_multiple = std::ranges::max(ends->second);
+  return has_passed(job.submitted, max_multiple * to_seconds(*job.effective_deadline - job.submitted));
 }
 
-void ServiceTargets::count_missed(ClusterState& state, load::ServiceRecord& record, Time now) const {
+void ServiceTargets::record_missed(ClusterState& state, load::ServiceRecord& record, Time now) const {
   for (auto& [id, job] : state.jobs) {
-    if (job.late_counted || job.residual || is_final(job.phase) || job.phase == JobPhase::waiting) continue;
-    if (!misses_last(job, now)) continue;
+    if (job.late_counted || job.residual || is_final(job.phase) || job.phase == JobPhase::blocked) continue;
+    if (!misses_loosest_target(job, now)) continue;
     job.late_counted = true;
     record.missed(job.spec.job_class, job.spec.team);
   }
--- a/src/core/scheduler/shortage_prioritizer.cpp
+++ b/src/core/scheduler/shortage_prioritizer.cpp
@@ -10,24 +10,24 @@
 namespace {
 
 // Times its last target's time after which a job that waits is deferred no more.
-constexpr double deferral_limit = 2;
+constexpr double max_deferral_factor = 2;
 constexpr double min_work_s = 1e-9;  // keeps the worth of a job without work finite
 
-load::Amount amount(const Resources& r) {
-  return {std::max(0.0, r.cpus), std::max(0.0, r.gpus), std::max(0.0, r.memory_gb)};
+load::Amount amount(const Resources& resources) {
+  return {std::max(0.0, resources.cpus), std::max(0.0, resources.gpus), std::max(0.0, resources.memory_gb)};
 }
 
 // A limit of 0 binds nothing.
-double unless_unlimited(double limit, double value) {
+double or_unlimited(double limit, double value) {
   if (limit > 0) return std::max(0.0, value);
   return std::numeric_limits<double>::infinity();
 }
 
 load::Pool pool_of(const Team& team, const Resources& used) {
   const auto& limit = team.limit;
-  return {{unless_unlimited(limit.cpus, limit.cpus - used.cpus), unless_unlimited(limit.gpus, limit.gpus - used.gpus),
-           unless_unlimited(0, 0)},
-          {unless_unlimited(limit.cpus, limit.cpus), unless_unlimited(limit.gpus, limit.gpus), unless_unlimited(0, 0)},
+  return {{or_unlimited(limit.cpus, limit.cpus - used.cpus), or_unlimited(limit.gpus, limit.gpus - used.gpus),
+           or_unlimited(0, 0)},
+          {or_unlimited(limit.cpus, limit.cpus), or_unlimited(limit.gpus, limit.gpus), or_unlimited(0, 0)},
           true};
 }
 
@@ -37,9 +37,9 @@
 class ShortagePrioritizer::CapacityByKind {
  public:
   void add(const MachineType& type, const Machine& machine) {
-    const auto kind = kind_of(kinds_, type, machine.zone, machine.spot);
+    const auto kind = find_or_add_kind(kinds_, type, machine.zone, machine.spot);
     if (kind >= capacity_.size()) capacity_.resize(kind + 1);
-    capacity_[kind].left.add(type.room);
+    capacity_[kind].remaining.add(type.capacity);
     for (const auto& placement : machine.placements) {
       if (!placement.occupies()) continue;
       capacity_[kind].used.at(static_cast<std::size_t>(placement.priority)).add(placement.need);
@@ -47,44 +47,46 @@
   }
 
   [[nodiscard]] std::vector<char> allowed_for(const JobSpec& spec) const { return allowed_kinds(spec, kinds_); }
-  [[nodiscard]] std::size_t kinds() const { return kinds_.size(); }
+  [[nodiscard]] std::size_t kind_count() const { return kinds_.size(); }
 
   // Lower priorities' work can be preempted, so it counts as free.
-  [[nodiscard]] load::Pool pool(const std::vector<char>& allowed, Priority priority) const {
-    Resources room;
+  [[nodiscard]] load::Pool pool(const std::vector<char>& allowed_kinds_mask, Priority priority) const {
+    Resources total;
     Resources free;
     for (std::size_t kind = 0; kind < capacity_.size(); ++kind) {
-      if (allowed[kind] == 0) continue;
-      room.add(capacity_[kind].left);
-      free.add(capacity_[kind].left);
+      if (allowed_kinds_mask[kind] == 0) continue;
+      total.add(capacity_[kind].remaining);
+      free.add(capacity_[kind].remaining);
       free.add(capacity_[kind].used.at(static_cast<std::size_t>(priority)), -1);
     }
-    return {amount(free), amount(room)};
+    return {amount(free), amount(total)};
   }
 
   // Lower priorities are left what this one neither uses nor waits for.
-  void take_used(Priority priority) {
-    for (auto& capacity : capacity_) capacity.left.add(capacity.used.at(static_cast<std::size_t>(priority)), -1);
+  void subtract_used(Priority priority) {
+    for (auto& capacity : capacity_) capacity.remaining.add(capacity.used.at(static_cast<std::size_t>(priority)), -1);
   }
-  void take_wanted(const std::vector<char>& allowed, const Resources& wanted) {
+  void subtract_requested(const std::vector<char>& allowed_kinds_mask, const Resources& requested) {
     double gpus = 0;
     double cpus = 0;
     for (std::size_t kind = 0; kind < capacity_.size(); ++kind) {
-      if (allowed[kind] == 0) continue;
-      gpus += std::max(0.0, capacity_[kind].left.gpus);
-      cpus += std::max(0.0, capacity_[kind].left.cpus);
+      if (allowed_kinds_mask[kind] == 0) continue;
+      gpus += std::max(0.0, capacity_[kind].remaining.gpus);
+      cpus += std::max(0.0, capacity_[kind].remaining.cpus);
     }
     for (std::size_t kind = 0; kind < capacity_.size(); ++kind) {
-      if (allowed[kind] == 0) continue;
-      const auto& left = capacity_[kind].left;
-      const double part = gpus > 0 ? std::max(0.0, left.gpus) / gpus : cpus > 0 ? std::max(0.0, left.cpus) / cpus : 0;
-      capacity_[kind].left.add(wanted, -part);
+      if (allowed_kinds_mask[kind] == 0) continue;
+      const auto& remaining = capacity_[kind].remaining;
+      const double share = gpus > 0   ? std::max(0.0, remaining.gpus) / gpus
+                           : cpus > 0 ? std::max(0.0, remaining.cpus) / cpus
+                                      : 0;
+      capacity_[kind].remaining.add(requested, -share);
     }
   }
 
  private:
   struct Capacity {
-    Resources left;                 // by the priorities looked at so far
+    Resources remaining;            // by the priorities looked at so far
     std::array<Resources, 4> used;  // by priority
   };
   std::vector<MachineKind> kinds_;
@@ -98,52 +100,52 @@
     const auto* type = state_.find_type(machine.type);
     if (type != nullptr && state_.accepts_new_tasks(machine, now)) capacity.add(*type, machine);
   }
-  Question question;
+  AdmissionInput input;
   QuotaUsage limits = state_.quota_usage;
   for (const auto priority : {Priority::production, Priority::high, Priority::normal, Priority::best_effort}) {
-    add_requests(question, problem, priority, capacity, limits, now);
+    add_requests(input, problem, priority, capacity, limits, now);
   }
-  apply(question, load::plan_admission(question.pools, question.requests, options_.policy.shortage_efficiency), now);
+  apply(input, load::plan_admission(input.pools, input.requests, options_.policy.shortage_efficiency), now);
 }
 
-void ShortagePrioritizer::add_requests(Question& question, PlacementProblem& problem, Priority priority,
+void ShortagePrioritizer::add_requests(AdmissionInput& input, PlacementProblem& problem, Priority priority,
                                        CapacityByKind& capacity, QuotaUsage& limits, Time now) const {
   std::map<std::vector<char>, std::size_t> kind_pools;
-  const auto pool_index = [&](const std::vector<char>& allowed) {
-    const auto [it, added] = kind_pools.try_emplace(allowed, question.pools.size());
-    if (added) question.pools.push_back(capacity.pool(allowed, priority));
+  const auto pool_index = [&](const std::vector<char>& allowed_kinds_mask) {
+    const auto [it, added] = kind_pools.try_emplace(allowed_kinds_mask, input.pools.size());
+    if (added) input.pools.push_back(capacity.pool(allowed_kinds_mask, priority));
     return it->second;
   };
-  const std::vector<char> all(capacity.kinds(), 1);
-  std::vector<std::pair<std::vector<char>, Resources>> wanted;
+  const std::vector<char> all_kinds(capacity.kind_count(), 1);
+  std::vector<std::pair<std::vector<char>, Resources>> requested;
   for (auto& pending : problem.jobs) {
     const auto& job = *pending.job;
     if (job.priority != priority || job.suspect) continue;
-    const auto allowed = capacity.allowed_for(job.spec);
-    std::vector<std::size_t> pools{pool_index(all)};
-    if (allowed != all) pools.push_back(pool_index(allowed));
-    auto request = request_for(question, pending, now);
+    const auto allowed_kinds_mask = capacity.allowed_for(job.spec);
+    std::vector<std::size_t> pools{pool_index(all_kinds)};
+    if (allowed_kinds_mask != all_kinds) pools.push_back(pool_index(allowed_kinds_mask));
+    auto request = request_for(input, pending, now);
     request.pools.insert(request.pools.begin(), pools.begin(), pools.end());
     // No more than its team's limit lets it start: arrays of thousands of tasks in teams of hundreds of CPUs would
     // else leave the lower priorities nothing, and what these can do in time would be given up.
-    const auto can_start = std::min(pending.count, limits.room_for(job.spec.team, job.spec.need));
-    limits.add(job.spec.team, job.spec.need, can_start);
-    wanted.emplace_back(allowed, job.spec.need.times(can_start));
-    question.requests.push_back(std::move(request));
-    question.jobs.push_back(&pending);
+    const auto startable = std::min(pending.count, limits.max_additional_tasks(job.spec.team, job.spec.need));
+    limits.add(job.spec.team, job.spec.need, startable);
+    requested.emplace_back(allowed_kinds_mask, job.spec.need.times(startable));
+    input.requests.push_back(std::move(request));
+    input.jobs.push_back(&pending);
   }
-  capacity.take_used(priority);
-  for (const auto& [allowed, need] : wanted) capacity.take_wanted(allowed, need);
+  capacity.subtract_used(priority);
+  for (const auto& [allowed_kinds_mask, need] : requested) capacity.subtract_requested(allowed_kinds_mask, need);
 }
 
 // The request with its team's pool; those of the machines are added by the caller.
-load::WorkRequest ShortagePrioritizer::request_for(Question& question, const PendingJob& pending, Time now) const {
+load::WorkRequest ShortagePrioritizer::request_for(AdmissionInput& input, const PendingJob& pending, Time now) const {
   const auto& job = *pending.job;
   load::WorkRequest request;
-  request.job_class = question.classes.try_emplace(job.spec.job_class, question.classes.size()).first->second;
+  request.job_class = input.classes.try_emplace(job.spec.job_class, input.classes.size()).first->second;
   if (const auto team = state_.teams.find(job.spec.team); team != state_.teams.end()) {
-    const auto [it, added] = question.team_pools.try_emplace(team->first, question.pools.size());
-    if (added) question.pools.push_back(pool_of(team->second, state_.quota_usage.used(team->first)));
+    const auto [it, added] = input.team_pools.try_emplace(team->first, input.pools.size());
+    if (added) input.pools.push_back(pool_of(team->second, state_.quota_usage.used(team->first)));
     request.pools.push_back(it->second);
   }
   request.need = amount(job.spec.need.times(pending.count));
@@ -152,33 +154,33 @@
   return request;
 }
 
-void ShortagePrioritizer::apply(const Question& question, const std::vector<load::AdmissionResult>& results,
+void ShortagePrioritizer::apply(const AdmissionInput& input, const std::vector<load::AdmissionResult>& results,
                                 Time now) const {
   // What a job is worth against its work: of its targets, those that it can still meet. A job of which a few tasks are
   // left goes before one that has hardly begun, even where it is a little late already.
-  std::vector<std::pair<double, PendingJob*>> by_worth;
-  for (std::size_t i = 0; i < question.jobs.size(); ++i) {
-    PendingJob& pending = *question.jobs[i];
+  std::vector<std::pair<double, PendingJob*>> by_value;
+  for (std::size_t i = 0; i < input.jobs.size(); ++i) {
+    PendingJob& pending = *input.jobs[i];
     const auto& job = *pending.job;
-    const auto& targets = question.requests[i].latest_start_s;
+    const auto& targets = input.requests[i].latest_start_s;
     const auto& result = results[i];
     const auto met = static_cast<double>(targets.size() - result.first_met_target);
     // Where only a team's limit is short, its arrays without a deadline have targets to meet as well, and none of them
     // can take a machine that others of higher priority then take back.
     const bool by_targets = !result.machines_short && job.spec.kind == JobKind::array && !targets.empty();
     if (result.in_short_pool && met > 0 && (job.effective_deadline || by_targets)) {
-      by_worth.emplace_back(-met / std::max(result.work_s, min_work_s), &pending);
+      by_value.emplace_back(-met / std::max(result.work_s, min_work_s), &pending);
     }
     if (result.first_met_target == 0 || (met > 0 && job.effective_deadline)) continue;
     const double waited_s = to_seconds(now - job.ready_at);
-    if (waited_s < deferral_limit * (waited_s + targets.back())) {
-      pending.expected_misses = static_cast<double>(result.first_met_target);
+    if (waited_s < max_deferral_factor * (waited_s + targets.back())) {
+      pending.expected_missed_targets = static_cast<double>(result.first_met_target);
     }
   }
-  std::ranges::stable_sort(by_worth, {}, &std::pair<double, PendingJob*>::first);
-  const auto count = static_cast<double>(by_worth.size());
-  for (std::size_t i = 0; i < by_worth.size(); ++i) {
-    by_worth[i].second->shortage_order = 1 - static_cast<double>(i) / count;
+  std::ranges::stable_sort(by_value, {}, &std::pair<double, PendingJob*>::first);
+  const auto count = static_cast<double>(by_value.size());
+  for (std::size_t i = 0; i < by_value.size(); ++i) {
+    by_value[i].second->shortage_order = 1 - static_cast<double>(i) / count;
   }
 }
 
--- a/src/core/scheduler/shortage_prioritizer.hpp
+++ b/src/core/scheduler/shortage_prioritizer.hpp
@@ -17,13 +17,13 @@
   ShortagePrioritizer(const ClusterState& state, const SchedulerOptions& options, const ServiceTargets& targets)
       : state_(state), options_(options), targets_(targets) {}
 
-  // Sets `expected_misses` of the jobs that are expected to miss targets which others of their priority can meet, and
-  // `shortage_order` of those that are served first.
+  // Sets `expected_missed_targets` of the jobs that are expected to miss targets which others of their priority can
+  // meet, and `shortage_order` of those that are served first.
   void prioritize(PlacementProblem& problem, Time now) const;
 
  private:
   // What the admission is asked: one request for each job, and the pools of capacity that they draw on.
-  struct Question {
+  struct AdmissionInput {
     std::vector<load::Pool> pools;
     std::vector<load::WorkRequest> requests;
     std::vector<PendingJob*> jobs;  // of the requests, in their order
@@ -31,10 +31,10 @@
     std::map<std::string, std::size_t> classes;
   };
   class CapacityByKind;
-  void add_requests(Question& question, PlacementProblem& problem, Priority priority, CapacityByKind& capacity,
+  void add_requests(AdmissionInput& input, PlacementProblem& problem, Priority priority, CapacityByKind& capacity,
                     QuotaUsage& limits, Time now) const;
-  [[nodiscard]] load::WorkRequest request_for(Question& question, const PendingJob& pending, Time now) const;
-  void apply(const Question& question, const std::vector<load::AdmissionResult>& results, Time now) const;
+  [[nodiscard]] load::WorkRequest request_for(AdmissionInput& input, const PendingJob& pending, Time now) const;
+  void apply(const AdmissionInput& input, const std::vector<load::AdmissionResult>& results, Time now) const;
 
   const ClusterState& state_;
   const SchedulerOptions& options_;
--- a/src/core/scheduler/task_lifecycle.cpp
+++ b/src/core/scheduler/task_lifecycle.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 // Ends of an array's tasks wait a moment for each other: only the last one is waited for by a user.
-constexpr Duration end_delay = seconds(1.2);
-constexpr Duration refused_start_pause = seconds(2);  // until the machine, or the job, is tried again
-constexpr double unlimited_cache_gb = 1e9;            // of a machine whose type is not known
+constexpr Duration end_write_delay = seconds(1.2);
+constexpr Duration refused_start_backoff = seconds(2);  // until the machine, or the job, is tried again
+constexpr double unlimited_cache_gb = 1e9;              // of a machine whose type is not known
 }  // namespace
 
 double checkpoint_grace_s(const Job* job) {
@@ -20,9 +20,9 @@
 // ---- reported by workers ----
 
 void TaskLifecycle::on_progress(Machine& machine, Placement& placement, const TaskStatus& status, Time now) {
-  const auto before = placement.state();
-  placement.enter(status.state, now);
-  if (before == placement.state()) return;
+  const auto previous = placement.state();
+  placement.transition_to(status.state, now);
+  if (previous == placement.state()) return;
   state_.update_accounting(machine, placement);
   Job* job = state_.find_job(placement.task.job);
   if (job == nullptr) return;
@@ -33,21 +33,21 @@
     if (fetched) rows_.mark_dirty(machine, now);
   }
   if (status.state != TaskState::running) return;
-  if (job->phase == JobPhase::pending) job->enter(JobPhase::running);
-  ++state_.task_counts.began;
+  if (job->phase == JobPhase::pending) job->transition_to(JobPhase::running);
+  ++state_.task_counts.started;
   log_.task_running(placement, machine, now);
-  log_when_all_run(*job, now);
+  log_if_all_running(*job, now);
 }
 
-void TaskLifecycle::log_when_all_run(Job& job, Time now) {
-  const bool all_run = job.running + job.done.count() >= job.spec.tasks;
-  if (!all_run || job.residual || std::exchange(job.all_run_logged, true)) return;
+void TaskLifecycle::log_if_all_running(Job& job, Time now) {
+  const bool all_running = job.running + job.done.count() >= job.spec.tasks;
+  if (!all_running || job.residual || std::exchange(job.all_run_logged, true)) return;
   log_.job_running(job, now);
 }
 
 void TaskLifecycle::on_exit(Machine& machine, Placement& placement, const TaskStatus& status, Time now) {
   add_run_time(placement, now);
-  placement.enter(TaskState::ended, now);
+  placement.transition_to(TaskState::ended, now);
   placement.cause = status.cause;
   placement.generation = Generation{0};
   state_.update_accounting(machine, placement);
@@ -75,7 +75,7 @@
   if (!is_final(job.phase)) estimator_.learn(job, placement, now);
   if (job.orphans.erase({index, machine.id}) == 0) job.placed.erase(index);
   // Only a result must be stored before the worker may forget it.
-  placement.generation = rows_.mark_dirty(job, index, end_delay, now);
+  placement.generation = rows_.mark_dirty(job, index, end_write_delay, now);
   if (job.spec.kind == JobKind::service && !is_final(job.phase)) job.requeued.insert(index);
   completion_.on_task_done(job, index, now);
 }
@@ -85,12 +85,12 @@
     case ExitCause::error:
       failures_.on_task_error(machine, job, now);
       break;
-    case ExitCause::no_room:
+    case ExitCause::no_capacity:
     case ExitCause::busy:
-      machine.no_starts_before = now + refused_start_pause;
+      machine.no_starts_before = now + refused_start_backoff;
       break;
     case ExitCause::unknown:
-      job.not_before = now + refused_start_pause;
+      job.not_before = now + refused_start_backoff;
       break;
     default:
       break;
@@ -106,23 +106,23 @@
     placement.need = job->spec.need;
     placement.priority = job->priority;
   }
-  placement.enter(status.state, now);
-  const bool of_known_task = job != nullptr && status.task.index < job->spec.tasks;
+  placement.transition_to(status.state, now);
+  const bool is_known_task = job != nullptr && status.task.index < job->spec.tasks;
   if (status.state == TaskState::ended) {
     placement.cause = status.cause;
     // A result is a result, whoever started it: an earlier leader may have recorded the end of
     // the placement without the end of the task.
-    if (status.cause == ExitCause::done && of_known_task) {
-      placement.generation = rows_.mark_dirty(*job, status.task.index, end_delay, now);
+    if (status.cause == ExitCause::done && is_known_task) {
+      placement.generation = rows_.mark_dirty(*job, status.task.index, end_write_delay, now);
       completion_.on_task_done(*job, status.task.index, now);
     }
   } else {
     log_.task_orphaned(status.task, machine);
     placement.stop_requested = true;
     placement.stop_requested_at = now;
-    if (of_known_task) {
+    if (is_known_task) {
       // While it is there, the task may start nowhere else.
-      job->hold(status.task.index, machine.id);
+      job->record_placement(status.task.index, machine.id);
       rows_.mark_dirty(*job, status.task.index, Duration{0}, now);
     }
   }
@@ -137,7 +137,8 @@
 
 void TaskLifecycle::add_run_time(const Placement& placement, Time now) {
   Job* job = state_.find_job(placement.task.job);
-  if (job != nullptr && placement.running_since != Time{}) job->ran_s += to_seconds(now - placement.running_since);
+  if (job != nullptr && placement.running_since != Time{})
+    job->total_run_s += to_seconds(now - placement.running_since);
 }
 
 // ---- off a machine ----
@@ -159,7 +160,7 @@
   Job* job = state_.find_job(placement.task.job);
   if (job == nullptr) return;
   const auto index = placement.task.index;
-  rows_.mark_dirty(*job, index, end_delay, now);
+  rows_.mark_dirty(*job, index, end_write_delay, now);
   // A late heartbeat shows an earlier attempt beside the one that is there: that one goes on holding the task. It was
   // freed with the other, and started on a second machine (`ran_twice` in the simulation, two changes of leader in a
   // row).
@@ -183,11 +184,11 @@
 
 // A worker gives a fetch up when no task waits for it any more.
 void TaskLifecycle::drop_unneeded_fetch(Machine& machine, const Job& job) {
-  const bool wanted = std::ranges::any_of(machine.placements, [&](const Placement& placement) {
+  const bool still_needed = std::ranges::any_of(machine.placements, [&](const Placement& placement) {
     const Job* other = std::as_const(state_).find_job(placement.task.job);
     return placement.occupies() && other != nullptr && other->image == job.image;
   });
-  if (!wanted) machine.drop_fetch(job.image);
+  if (!still_needed) machine.drop_fetch(job.image);
 }
 
 // ---- stops ----
@@ -236,7 +237,7 @@
 void TaskLifecycle::drain(Machine& machine, DrainReason reason, Time now) {
   if (machine.phase() != MachinePhase::up && machine.phase() != MachinePhase::booting) return;
   log_.machine_draining(machine, reason);
-  machine.enter(MachinePhase::draining, now);
+  machine.transition_to(MachinePhase::draining, now);
   const StopCause cause{reason == DrainReason::reclaimed ? StopReason::machine_reclaimed
                                                          : StopReason::machine_quarantined};
   for (auto& placement : machine.placements) {
@@ -272,11 +273,11 @@
 // missing comes to the same conclusion from what they depend on.
 void TaskLifecycle::cancel_dependents(const JobId& root, const std::set<JobId>& dependents, Time now) {
   std::set<JobId> cancelled;
-  std::deque<JobId> next{dependents.begin(), dependents.end()};
-  for (; !next.empty(); next.pop_front()) {
-    Job* job = state_.find_job(next.front());
+  std::deque<JobId> queue{dependents.begin(), dependents.end()};
+  for (; !queue.empty(); queue.pop_front()) {
+    Job* job = state_.find_job(queue.front());
     if (job == nullptr || is_final(job->phase)) continue;
-    dependencies_.take_dependents_into(job->spec.id, next);
+    dependencies_.take_dependents_into(job->spec.id, queue);
     completion_.finish(*job, JobPhase::cancelled, now);
     stop_all_tasks(*job, 0, {StopReason::dependency_cancelled}, now);
     dependencies_.add_to_cascade(root, job->spec.id);
--- a/src/core/scheduler/task_lifecycle.hpp
+++ b/src/core/scheduler/task_lifecycle.hpp
@@ -55,7 +55,7 @@
   void on_completed(Machine& machine, Placement& placement, Job& job, Time now);
   void on_failed(Machine& machine, Job& job, ExitCause cause, Time now);
   void add_run_time(const Placement& placement, Time now);
-  void log_when_all_run(Job& job, Time now);
+  void log_if_all_running(Job& job, Time now);
   void return_to_pending(Machine& machine, const Placement& placement, Time now);
   void drop_unneeded_fetch(Machine& machine, const Job& job);
   void cancel_dependents(const JobId& root, const std::set<JobId>& dependents, Time now);
--- a/src/core/scheduler/worker_command_dispatcher.cpp
+++ b/src/core/scheduler/worker_command_dispatcher.cpp
@@ -6,13 +6,13 @@
 namespace martenwall {
 
 namespace {
-constexpr Duration start_takes = seconds(6);  // from a response with a start: its way, and the start itself
-constexpr std::size_t max_probes = 8;         // at once, of machines whose downlink is in doubt
-constexpr std::size_t max_commands = 300;     // in one response: a line of it may have 64 KiB
-constexpr double stop_overdue_s = 4;          // beyond its grace, after which a stop is repeated without grace
+constexpr Duration start_latency = seconds(6);          // from a response with a start: its way, and the start itself
+constexpr std::size_t max_concurrent_probes = 8;        // at once, of machines whose downlink is in doubt
+constexpr std::size_t max_commands_per_response = 300;  // in one response: a line of it may have 64 KiB
+constexpr double stop_overdue_s = 4;  // beyond its grace, after which a stop is repeated without grace
 // Times the heartbeat interval after which a machine is too silent to be sent a command: it could be held in the
 // network and execute late.
-constexpr double silent_after_intervals = 1.5;
+constexpr double max_report_age_intervals = 1.5;
 }  // namespace
 
 std::vector<Command> WorkerCommandDispatcher::commands_for(Machine& machine, HeartbeatSequence sequence, Time now,
@@ -20,7 +20,7 @@
   std::vector<Command> out;
   for (auto& placement : machine.placements) {
     // A response must stay short; what is beyond comes with the next one.
-    if (out.size() >= max_commands) break;
+    if (out.size() >= max_commands_per_response) break;
     if (!placement.removed) append_command(machine, placement, sequence, now, lease_valid, out);
   }
   return out;
@@ -40,9 +40,9 @@
     append_stop(machine, placement, sequence, now, out);
     return;
   }
-  const bool may_start = !placement.is_reported() && !placement.unconfirmed && lease_valid && machine.takes_starts();
+  const bool may_start = !placement.is_reported() && !placement.unconfirmed && lease_valid && machine.accepts_starts();
   if (may_start && state_.jobs.contains(placement.task.job) && rows_.is_stored(placement)) {
-    placement.enter(TaskState::sent, now);
+    placement.transition_to(TaskState::sent, now);
     placement.start_sequence = std::max(placement.start_sequence.value_or(sequence), sequence);
     out.push_back({Command::Verb::start, placement.task, placement.attempt, 0});
   }
@@ -50,18 +50,18 @@
 
 void WorkerCommandDispatcher::append_stop(const Machine& machine, Placement& placement, HeartbeatSequence sequence,
                                           Time now, std::vector<Command>& out) {
-  const Duration since = now - placement.stop_requested_at;
+  const Duration elapsed = now - placement.stop_requested_at;
   // Up to when it is surely carried out before a cancelled job's tasks have to be gone.
-  const bool early = since < seconds(options_.terms.cancel_s) - start_takes;
+  const bool before_cancel_deadline = elapsed < seconds(options_.timings.cancel_s) - start_latency;
   const bool may_start_late = !placement.is_reported() && placement.direct_start_unanswered;
-  if (may_start_late && early && machine.phase() != MachinePhase::releasing) {
+  if (may_start_late && before_cancel_deadline && machine.phase() != MachinePhase::releasing) {
     // Make the worker know the attempt, so that the late start has no effect; then end it. In grace too: a response
     // that keeps the incarnation alive and does not do this would leave the way open to a start that the network holds
     // for longer than cancel_s. What it starts is stored as being there, whoever leads.
     out.push_back({Command::Verb::start, placement.task, placement.attempt, 0});
     placement.start_sequence = std::max(placement.start_sequence.value_or(sequence), sequence);
   }
-  const bool overdue = since > seconds(placement.stop_grace_s + options_.terms.gang_peer_s + stop_overdue_s);
+  const bool overdue = elapsed > seconds(placement.stop_grace_s + options_.timings.gang_peer_s + stop_overdue_s);
   const double grace_s = overdue ? 0 : placement.stop_grace_s;
   if (placement.state() != TaskState::saving || grace_s <= 0) {
     out.push_back({Command::Verb::stop, placement.task, placement.attempt, grace_s});
@@ -79,10 +79,11 @@
     Machine& machine = it->second;
     if (!machine.has_reported) continue;
     if (machine.phase() == MachinePhase::lost || machine.phase() == MachinePhase::releasing) continue;
-    if (now - machine.last_report_at > seconds(options_.terms.heartbeat_interval_s * silent_after_intervals)) continue;
+    if (now - machine.last_report_at > seconds(options_.timings.heartbeat_interval_s * max_report_age_intervals))
+      continue;
     CommandBatch batch{id, machine.addr, machine.incarnation, {}};
     for (auto& placement : machine.placements) append_direct_command(machine, placement, now, batch);
-    const bool probe = probes < max_probes && machine.downlink.takes_probe(now);
+    const bool probe = probes < max_concurrent_probes && machine.downlink.claim_probe(now);
     if (probe) ++probes;
     if (probe || !batch.commands.empty()) out.push_back(std::move(batch));
   }
@@ -98,9 +99,9 @@
     placement.stop_sent = true;
     return;
   }
-  const bool may_start = placement.state() == TaskState::planned && machine.takes_starts();
+  const bool may_start = placement.state() == TaskState::planned && machine.accepts_starts();
   if (!may_start || !state_.jobs.contains(placement.task.job) || !rows_.is_stored(placement)) return;
-  placement.enter(TaskState::sent, now);
+  placement.transition_to(TaskState::sent, now);
   placement.direct_start_unanswered = true;
   batch.commands.push_back({Command::Verb::start, placement.task, placement.attempt, 0});
 }
@@ -126,8 +127,8 @@
   std::vector<CommandBatch> out;
   for (const bool busy : {true, false}) {
     for (const auto& [id, machine] : state_.machines) {
-      const bool knows_address = !machine.addr.empty() && machine.phase() == MachinePhase::up;
-      if (machine.empty() != busy && !machine.has_reported && knows_address) {
+      const bool is_addressable = !machine.addr.empty() && machine.phase() == MachinePhase::up;
+      if (machine.empty() != busy && !machine.has_reported && is_addressable) {
         out.push_back({id, machine.addr, machine.incarnation, {}});
       }
     }
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -11,28 +11,28 @@
 
 // A value of its own type, so that an id is not taken for another.
 template <class Tag, class Rep>
-class Strong {
+class StrongType {
  public:
-  Strong() = default;
-  explicit Strong(Rep value) : value_(std::move(value)) {}
+  StrongType() = default;
+  explicit StrongType(Rep value) : value_(std::move(value)) {}
   [[nodiscard]] const Rep& value() const { return value_; }
-  auto operator<=>(const Strong&) const = default;
+  auto operator<=>(const StrongType&) const = default;
 
  private:
   Rep value_{};
 };
 
-using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
-using KeyVersion = Strong<struct KeyVersionTag, std::uint64_t>;
-using Revision = Strong<struct RevisionTag, std::uint64_t>;
-using LeaseId = Strong<struct LeaseTag, std::uint64_t>;
-using Attempt = Strong<struct AttemptTag, std::uint64_t>;
-using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
-using HeartbeatSequence = Strong<struct HeartbeatSequenceTag, std::uint64_t>;
-using Generation = Strong<struct GenerationTag, std::uint64_t>;
-using JobId = Strong<struct JobTag, std::string>;
-using MachineId = Strong<struct MachineTag, std::string>;
-using ImageId = Strong<struct ImageTag, std::uint32_t>;  // an image's number in this process
+using FencingToken = StrongType<struct FencingTokenTag, std::uint64_t>;
+using KeyVersion = StrongType<struct KeyVersionTag, std::uint64_t>;
+using Revision = StrongType<struct RevisionTag, std::uint64_t>;
+using LeaseId = StrongType<struct LeaseTag, std::uint64_t>;
+using Attempt = StrongType<struct AttemptTag, std::uint64_t>;
+using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
+using HeartbeatSequence = StrongType<struct HeartbeatSequenceTag, std::uint64_t>;
+using Generation = StrongType<struct GenerationTag, std::uint64_t>;
+using JobId = StrongType<struct JobTag, std::string>;
+using MachineId = StrongType<struct MachineTag, std::string>;
+using ImageId = StrongType<struct ImageTag, std::uint32_t>;  // an image's number in this process
 
 // Time as the core sees it: handed in by the shell, never read.
 struct CoreClock {
@@ -59,6 +59,8 @@
 }  // namespace martenwall
 
 template <class Tag, class Rep>
-struct std::hash<martenwall::Strong<Tag, Rep>> {
-  std::size_t operator()(const martenwall::Strong<Tag, Rep>& s) const noexcept { return std::hash<Rep>{}(s.value()); }
+struct std::hash<martenwall::StrongType<Tag, Rep>> {
+  std::size_t operator()(const martenwall::StrongType<Tag, Rep>& s) const noexcept {
+    return std::hash<Rep>{}(s.value());
+  }
 };
