--- a/src/load/overload_admission.cpp
+++ b/src/load/overload_admission.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kinds = std::tuple_size_v<Amount>;
+constexpr std::size_t resource_kinds = std::tuple_size_v<Amount>;
 
 // One pass of Moore's algorithm over all pools. What an earlier pass took stays taken.
 class AdmissionPass {
@@ -21,8 +21,8 @@
         requests_(requests),
         efficiency_(efficiency),
         accounts_(pools.size()),
-        kept_(requests.size(), 0),
-        kept_for_s_(requests.size(), 0) {
+        admitted_(requests.size(), 0),
+        admitted_latest_start_s_(requests.size(), 0) {
     double need = 0;
     double work = 0;
     for (std::size_t i = 0; i < requests.size(); ++i) {
@@ -30,7 +30,7 @@
       need += sizes_[i];
       work += sizes_[i] * requests[i].run_s;
     }
-    usual_run_s_ = need > 0 ? work / need : 0;
+    mean_run_s_ = need > 0 ? work / need : 0;
   }
 
   struct Candidate {
@@ -45,59 +45,59 @@
       b.classes.clear();
       b.work = {};
     }
-    std::vector<char> settled = kept_;
-    for (std::size_t i = 0; i < kept_.size(); ++i) {
-      if (kept_[i] != 0) candidates.push_back({kept_for_s_[i], i});
+    std::vector<char> previously_admitted = admitted_;
+    for (std::size_t i = 0; i < admitted_.size(); ++i) {
+      if (admitted_[i] != 0) candidates.push_back({admitted_latest_start_s_[i], i});
     }
     std::ranges::sort(candidates);
     for (const auto& c : candidates) {
-      take(c.request, 1);
-      kept_for_s_[c.request] = c.latest_s;
-      if (settled[c.request] == 0) enter(c.request);
-      for (const auto pool : requests_[c.request].pools) make_fit(pool, c.latest_s);
+      set_admitted(c.request, 1);
+      admitted_latest_start_s_[c.request] = c.latest_s;
+      if (previously_admitted[c.request] == 0) enqueue(c.request);
+      for (const auto pool : requests_[c.request].pools) evict_until_fit(pool, c.latest_s);
     }
   }
-  [[nodiscard]] bool kept(std::size_t i) const { return kept_[i] != 0; }
+  [[nodiscard]] bool is_admitted(std::size_t i) const { return admitted_[i] != 0; }
   [[nodiscard]] double work_s(std::size_t i) const { return sizes_[i] * requests_[i].run_s; }
-  [[nodiscard]] bool was_short(std::size_t pool) const { return accounts_[pool].was_short; }
+  [[nodiscard]] bool had_shortage(std::size_t pool) const { return accounts_[pool].had_shortage; }
 
  private:
   struct ClassQueue {
     std::priority_queue<std::pair<double, std::size_t>> by_work;  // with claims that were given up meanwhile
-    std::size_t kept = 0, all = 0;
-    [[nodiscard]] double share() const { return static_cast<double>(kept) / static_cast<double>(all); }
+    std::size_t admitted = 0, all = 0;
+    [[nodiscard]] double share() const { return static_cast<double>(admitted) / static_cast<double>(all); }
   };
   struct PoolAccount {
     Amount work{};  // need times seconds, of those kept
     std::map<std::size_t, ClassQueue> classes;
-    bool was_short = false;
+    bool had_shortage = false;
   };
 
   // The largest part that it takes of any pool's room: its dominant share.
   [[nodiscard]] double size_of(std::size_t i) const {
     double out = 0;
     for (const auto pool : requests_[i].pools) {
-      for (std::size_t k = 0; k < kinds; ++k) {
-        if (pools_[pool].room[k] > 0) out = std::max(out, requests_[i].need[k] / pools_[pool].room[k]);
+      for (std::size_t k = 0; k < resource_kinds; ++k) {
+        if (pools_[pool].capacity[k] > 0) out = std::max(out, requests_[i].need[k] / pools_[pool].capacity[k]);
       }
     }
     return out;
   }
 
   // From now on it may be given up for others of its pools.
-  void enter(std::size_t i) {
+  void enqueue(std::size_t i) {
     for (const auto pool : requests_[i].pools) {
       auto& job_class = accounts_[pool].classes[requests_[i].job_class];
       job_class.by_work.emplace(work_s(i), i);
-      ++job_class.kept;
+      ++job_class.admitted;
       ++job_class.all;
     }
   }
 
-  void take(std::size_t i, double sign) {
-    kept_[i] = sign > 0 ? 1 : 0;
+  void set_admitted(std::size_t i, double sign) {
+    admitted_[i] = sign > 0 ? 1 : 0;
     for (const auto pool : requests_[i].pools) {
-      for (std::size_t k = 0; k < kinds; ++k) {
+      for (std::size_t k = 0; k < resource_kinds; ++k) {
         accounts_[pool].work[k] += sign * requests_[i].need[k] * requests_[i].run_s;
       }
     }
@@ -106,47 +106,47 @@
   // What is free takes work at once; the rest comes as running work ends, as much a second as there is room.
   [[nodiscard]] bool fits(std::size_t pool, double latest_s) const {
     const auto& p = pools_[pool];
-    for (std::size_t k = 0; k < kinds; ++k) {
-      if (std::isinf(p.room[k])) continue;
-      const double can = p.free[k] * usual_run_s_ + efficiency_ * p.room[k] * latest_s;
-      if (accounts_[pool].work[k] > can * (1 + 1e-9) + 1e-9) return false;
+    for (std::size_t k = 0; k < resource_kinds; ++k) {
+      if (std::isinf(p.capacity[k])) continue;
+      const double available = p.free[k] * mean_run_s_ + efficiency_ * p.capacity[k] * latest_s;
+      if (accounts_[pool].work[k] > available * (1 + 1e-9) + 1e-9) return false;
     }
     return true;
   }
 
-  void make_fit(std::size_t pool, double latest_s) {
+  void evict_until_fit(std::size_t pool, double latest_s) {
     while (!fits(pool, latest_s)) {
-      accounts_[pool].was_short = true;
-      if (!give_up_one(pool)) return;
+      accounts_[pool].had_shortage = true;
+      if (!evict_one(pool)) return;
     }
   }
 
   // The largest of the class of which most is kept: no class carries the shortage alone.
-  bool give_up_one(std::size_t pool) {
+  bool evict_one(std::size_t pool) {
     ClassQueue* best = nullptr;
     for (auto& [id, job_class] : accounts_[pool].classes) {
-      while (!job_class.by_work.empty() && kept_[job_class.by_work.top().second] == 0) job_class.by_work.pop();
+      while (!job_class.by_work.empty() && admitted_[job_class.by_work.top().second] == 0) job_class.by_work.pop();
       if (!job_class.by_work.empty() && (best == nullptr || job_class.share() > best->share())) best = &job_class;
     }
     if (best == nullptr) return false;
     const auto i = best->by_work.top().second;
-    take(i, -1);
-    for (const auto other : requests_[i].pools) --accounts_[other].classes[requests_[i].job_class].kept;
+    set_admitted(i, -1);
+    for (const auto other : requests_[i].pools) --accounts_[other].classes[requests_[i].job_class].admitted;
     return true;
   }
 
   const std::vector<Pool>& pools_;
   const std::vector<WorkRequest>& requests_;
   double efficiency_;
-  double usual_run_s_ = 0;
+  double mean_run_s_ = 0;
   std::vector<PoolAccount> accounts_;
   std::vector<double> sizes_;
-  std::vector<char> kept_;
-  std::vector<double> kept_for_s_;  // the latest start for which each was kept
+  std::vector<char> admitted_;
+  std::vector<double> admitted_latest_start_s_;  // the latest start for which each was kept
 };
 
-std::vector<AdmissionResult> in_short_pools(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests,
-                                            double efficiency) {
+std::vector<AdmissionResult> find_short_pools(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests,
+                                              double efficiency) {
   AdmissionPass all{pools, requests, efficiency};
   std::vector<AdmissionPass::Candidate> candidates;
   std::vector<AdmissionResult> out(requests.size());
@@ -159,8 +159,8 @@
   for (std::size_t i = 0; i < requests.size(); ++i) {
     out[i].work_s = all.work_s(i);
     for (const auto p : requests[i].pools) {
-      out[i].in_short_pool = out[i].in_short_pool || all.was_short(p);
-      out[i].machines_short = out[i].machines_short || (all.was_short(p) && !pools[p].limit);
+      out[i].in_short_pool = out[i].in_short_pool || all.had_shortage(p);
+      out[i].machines_short = out[i].machines_short || (all.had_shortage(p) && !pools[p].is_team_limit);
     }
   }
   return out;
@@ -170,22 +170,22 @@
 
 std::vector<AdmissionResult> plan_admission(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests,
                                             double efficiency) {
-  auto out = in_short_pools(pools, requests, efficiency);
+  auto out = find_short_pools(pools, requests, efficiency);
   if (std::ranges::none_of(out, &AdmissionResult::in_short_pool)) return out;
-  std::size_t most_times = 0;
-  for (const auto& c : requests) most_times = std::max(most_times, c.latest_start_s.size());
+  std::size_t max_targets = 0;
+  for (const auto& c : requests) max_targets = std::max(max_targets, c.latest_start_s.size());
   AdmissionPass pass_by_target{pools, requests, efficiency};
-  for (std::size_t first_met_target = 0; first_met_target < most_times; ++first_met_target) {
+  for (std::size_t first_met_target = 0; first_met_target < max_targets; ++first_met_target) {
     std::vector<AdmissionPass::Candidate> candidates;
     for (std::size_t i = 0; i < requests.size(); ++i) {
       const auto& times = requests[i].latest_start_s;
-      if (!pass_by_target.kept(i) && first_met_target < times.size() && times[first_met_target] >= 0)
+      if (!pass_by_target.is_admitted(i) && first_met_target < times.size() && times[first_met_target] >= 0)
         candidates.push_back({times[first_met_target], i});
     }
     pass_by_target.pass(std::move(candidates));
     for (std::size_t i = 0; i < requests.size(); ++i) {
-      const bool passed_over =
-          out[i].in_short_pool && !pass_by_target.kept(i) && first_met_target < requests[i].latest_start_s.size();
+      const bool passed_over = out[i].in_short_pool && !pass_by_target.is_admitted(i) &&
+                               first_met_target < requests[i].latest_start_s.size();
       if (passed_over) out[i].first_met_target = first_met_target + 1;
     }
   }
--- a/src/load/overload_admission.hpp
+++ b/src/load/overload_admission.hpp
@@ -17,9 +17,9 @@
 
 // Room that some claims draw on together: all machines, those of some kinds, or what a team's limit leaves.
 struct Pool {
-  Amount free{};       // can be taken now
-  Amount room{};       // in all, in use by the same claims' jobs or free; what does not bound them is infinite
-  bool limit = false;  // of a team, not machines
+  Amount free{};               // can be taken now
+  Amount capacity{};           // in all, in use by the same claims' jobs or free; what does not bound them is infinite
+  bool is_team_limit = false;  // of a team, not machines
 };
 
 // What is pending of one job.
--- a/src/load/service_record.cpp
+++ b/src/load/service_record.cpp
@@ -6,9 +6,9 @@
 
 namespace martenwall::load {
 
-Served& ServiceRecord::at(const std::string& job_class, const std::string& team) {
-  Pair key{job_class, team};
-  if (!pairs_.contains(key) && pairs_.size() >= most_pairs) key = {"other", "other"};
+ServiceCounts& ServiceRecord::counts_for(const std::string& job_class, const std::string& team) {
+  ClassAndTeam key{job_class, team};
+  if (!pairs_.contains(key) && pairs_.size() >= max_pairs) key = {"other", "other"};
   auto& s = pairs_[key];
   s.job_class = key.first;
   s.team = key.second;
@@ -16,49 +16,49 @@
 }
 
 void ServiceRecord::started(const std::string& job_class, const std::string& team, double wait_s) {
-  auto& s = at(job_class, team);
+  auto& s = counts_for(job_class, team);
   ++s.started;
   s.wait_s += wait_s;
 }
 
 void ServiceRecord::done(const std::string& job_class, const std::string& team, bool in_time) {
-  auto& s = at(job_class, team);
+  auto& s = counts_for(job_class, team);
   ++s.done;
   if (in_time) ++s.in_time;
 }
 
-std::vector<Served> ServiceRecord::all() const {
-  std::vector<Served> out;
+std::vector<ServiceCounts> ServiceRecord::all() const {
+  std::vector<ServiceCounts> out;
   out.reserve(pairs_.size());
   for (const auto& [key, s] : pairs_) out.push_back(s);
   return out;
 }
 
-std::string ServiceRecord::minute_line(std::size_t most) {
-  std::vector<Served> minute;
+std::string ServiceRecord::minute_line(std::size_t max_entries) {
+  std::vector<ServiceCounts> minute;
   for (const auto& [key, s] : pairs_) {
-    const auto& before = told_[key];
-    Served d = s;
-    d.submitted -= before.submitted;
-    d.started -= before.started;
-    d.done -= before.done;
-    d.in_time -= before.in_time;
-    d.late -= before.late;
-    d.wait_s -= before.wait_s;
-    if (d.submitted + d.started + d.done + d.late > 0) minute.push_back(std::move(d));
+    const auto& before = last_reported_[key];
+    ServiceCounts delta = s;
+    delta.submitted -= before.submitted;
+    delta.started -= before.started;
+    delta.done -= before.done;
+    delta.in_time -= before.in_time;
+    delta.late -= before.late;
+    delta.wait_s -= before.wait_s;
+    if (delta.submitted + delta.started + delta.done + delta.late > 0) minute.push_back(std::move(delta));
   }
-  told_ = pairs_;
-  std::ranges::stable_sort(minute, {}, &Served::share);
+  last_reported_ = pairs_;
+  std::ranges::stable_sort(minute, {}, &ServiceCounts::share);
   std::ostringstream out;
   out << std::fixed;
-  for (std::size_t i = 0; i < minute.size() && i < most; ++i) {
+  for (std::size_t i = 0; i < minute.size() && i < max_entries; ++i) {
     const auto& s = minute[i];
     const double wait_s = s.started == 0 ? 0 : s.wait_s / static_cast<double>(s.started);
     out << (i > 0 ? "; " : "") << s.job_class << "/" << s.team << " " << s.submitted << " taken, " << s.started
         << " started after " << std::setprecision(0) << wait_s << " s, " << s.done << " done, " << std::setprecision(2)
         << s.share() << " in time";
   }
-  if (minute.size() > most) out << "; " << minute.size() - most << " more served better";
+  if (minute.size() > max_entries) out << "; " << minute.size() - max_entries << " more served better";
   return out.str();
 }
 
--- a/src/load/service_record.hpp
+++ b/src/load/service_record.hpp
@@ -10,7 +10,7 @@
 
 namespace martenwall::load {
 
-struct Served {
+struct ServiceCounts {
   std::string job_class, team;
   std::uint64_t submitted = 0;  // taken by this leader, loaded ones included
   std::uint64_t started = 0;    // all of its tasks were placed
@@ -30,24 +30,24 @@
  public:
   // Beyond this many pairs of class and team all further ones are counted together, as "other": names come from users,
   // and metrics and memory must not grow with them.
-  static constexpr std::size_t most_pairs = 60;
+  static constexpr std::size_t max_pairs = 60;
 
-  void submitted(const std::string& job_class, const std::string& team) { ++at(job_class, team).submitted; }
+  void submitted(const std::string& job_class, const std::string& team) { ++counts_for(job_class, team).submitted; }
   void started(const std::string& job_class, const std::string& team, double wait_s);
   void done(const std::string& job_class, const std::string& team, bool in_time);
-  void cancelled(const std::string& job_class, const std::string& team) { ++at(job_class, team).cancelled; }
+  void cancelled(const std::string& job_class, const std::string& team) { ++counts_for(job_class, team).cancelled; }
   // Its last time passed before it was done: told once, and `done` after that counts no second time.
-  void missed(const std::string& job_class, const std::string& team) { ++at(job_class, team).late; }
+  void missed(const std::string& job_class, const std::string& team) { ++counts_for(job_class, team).late; }
 
-  [[nodiscard]] std::vector<Served> all() const;  // by class, then team
+  [[nodiscard]] std::vector<ServiceCounts> all() const;  // by class, then team
   // "squat-scan/mirror-ops 62 taken, 50 started after 12 s, 41 done, 0.83 in time; ...", those least served first, at
   // most `most` of them; what happened since the line before.
-  std::string minute_line(std::size_t most);
+  std::string minute_line(std::size_t max_entries);
 
  private:
-  using Pair = std::pair<std::string, std::string>;
-  Served& at(const std::string& job_class, const std::string& team);
-  std::map<Pair, Served> pairs_, told_;
+  using ClassAndTeam = std::pair<std::string, std::string>;
+  ServiceCounts& counts_for(const std::string& job_class, const std::string& team);
+  std::map<ClassAndTeam, ServiceCounts> pairs_, last_reported_;
 };
 
 }  // namespace martenwall::load
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int bad_settings = 2;
+constexpr int exit_invalid_settings = 2;
 
 std::shared_ptr<spdlog::logger> make_log() {
   auto log = std::make_shared<spdlog::logger>("martenwall", std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -23,20 +23,20 @@
 }
 
 void add_config_command(CLI::App& app, martenwall::service::ConfigurationCommand& command) {
-  using Ask = martenwall::wire::ConfigurationRequest::Ask;
+  using Action = martenwall::wire::ConfigurationRequest::Action;
   auto* config = app.add_subcommand("config", "the configuration that changes while the service runs");
   config->require_subcommand(1);
-  const auto add = [&](const char* name, const char* help, Ask ask) {
+  const auto add_action = [&](const char* name, const char* help, Action action) {
     auto* sub = config->add_subcommand(name, help);
     sub->add_option("--node", command.node, "address of any node for other controllers (cluster_listen)")->required();
-    sub->callback([&command, ask] { command.request.ask = ask; });
+    sub->callback([&command, action] { command.request.action = action; });
     return sub;
   };
-  add("get", "the version, the document and the teams in force at the node", Ask::get);
-  add("history", "the latest changes, the newest first", Ask::history);
-  auto* apply = add("apply", "apply a change", Ask::apply);
+  add_action("get", "the version, the document and the teams in force at the node", Action::get);
+  add_action("history", "the latest changes, the newest first", Action::history);
+  auto* apply = add_action("apply", "apply a change", Action::apply);
   apply->add_option("file", command.file, "JSON merge patch of the document")->required();
-  apply->add_option("--by", command.request.by, "who changes it, for the history");
+  apply->add_option("--by", command.request.author, "who changes it, for the history");
   apply->add_flag("--dry-run", command.request.dry_run, "check it and tell what it would change");
   apply->add_option_function<std::uint64_t>(
       "--expect",
@@ -81,12 +81,12 @@
     }
     if (config_path.empty()) {
       std::cerr << "--config is required\n";
-      return bad_settings;
+      return exit_invalid_settings;
     }
     return run_node(config_path, properties_path, check_only);
   } catch (const martenwall::config::SettingsError& e) {
     std::cerr << e.what() << '\n';
-    return bad_settings;
+    return exit_invalid_settings;
   } catch (const std::exception& e) {
     std::cerr << "martenwall: " << e.what() << '\n';
     return 1;
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -14,18 +14,19 @@
 namespace {
 
 // Seconds: from a scheduling cycle of a small fleet to what makes workers give up.
-prometheus::Histogram::BucketBoundaries bounds() {
+prometheus::Histogram::BucketBoundaries bucket_bounds() {
   return {0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5};
 }
 
-constexpr std::array<const char*, heartbeat_paths> path_names{"here", "relayed", "by_others", "sent_on", "refused"};
-constexpr std::array<const char*, lookup_purposes> purpose_names{"status_query", "dependency_check"};
-constexpr std::array<const char*, lookup_sources> source_names{"memory",         "leader",       "compared_active",
-                                                               "compared_final", "single_reads", "unanswered"};
+constexpr std::array<const char*, heartbeat_path_count> path_names{"here", "relayed", "by_others", "sent_on",
+                                                                   "refused"};
+constexpr std::array<const char*, lookup_purpose_count> purpose_names{"status_query", "dependency_check"};
+constexpr std::array<const char*, lookup_source_count> source_names{"memory",         "leader",       "compared_active",
+                                                                    "compared_final", "single_reads", "unanswered"};
 constexpr std::array<const char*, 3> priority_names{"awaited", "borrowed", "spare"};
 
 prometheus::Histogram& histogram(prometheus::Registry& r, const char* name, const char* help) {
-  return prometheus::BuildHistogram().Name(name).Help(help).Register(r).Add({}, bounds());
+  return prometheus::BuildHistogram().Name(name).Help(help).Register(r).Add({}, bucket_bounds());
 }
 
 }  // namespace
@@ -34,14 +35,15 @@
   histogram_.Observe(to_seconds(measured));
   ++count_;
   sum_ += measured;
-  longest_ = std::max(longest_, measured);
+  max_ = std::max(max_, measured);
 }
 
-Timing::Minute Timing::take_minute() {
-  Minute m{count_, count_ > 0 ? to_seconds(sum_) * 1000 / static_cast<double>(count_) : 0, to_seconds(longest_) * 1000};
+Timing::Interval Timing::consume_interval() {
+  Interval interval{count_, count_ > 0 ? to_seconds(sum_) * 1000 / static_cast<double>(count_) : 0,
+                    to_seconds(max_) * 1000};
   count_ = 0;
-  sum_ = longest_ = Duration{0};
-  return m;
+  sum_ = max_ = Duration{0};
+  return interval;
 }
 
 prometheus::Gauge& Metrics::gauge(const char* name, const char* help, const prometheus::Labels& labels) {
@@ -75,24 +77,25 @@
       leads_(gauge("martenwall_leads", "1 while this node leads.")),
       connections_(gauge("martenwall_connections", "Open connections of users and workers.")),
       worker_connections_(gauge("martenwall_worker_connections", "Of these, workers'.")),
-      worker_room_(gauge("martenwall_worker_room", "Workers' connections that this node would hold.")),
+      worker_capacity_(gauge("martenwall_worker_room", "Workers' connections that this node would hold.")),
       machines_(gauge("martenwall_machines", "Machines that the leader knows.")),
       jobs_(gauge("martenwall_jobs", "Jobs that the leader knows and that are not over.")),
       memory_(gauge("process_resident_memory_bytes", "Memory that this process holds.")),
-      used_(gauge("martenwall_state_rate_used", "Part of this node's share of the state service's rate, 0 to 1.")),
+      state_requests_used_(
+          gauge("martenwall_state_rate_used", "Part of this node's share of the state service's rate, 0 to 1.")),
       configuration_(gauge("martenwall_configuration_version", "Version of the configuration in force here.")) {
   auto& family = prometheus::BuildCounter()
                      .Name("martenwall_reports_total")
                      .Help("Workers' reports: answered here, passed on, taken from other nodes, sent on, refused.")
                      .Register(*registry_);
-  for (std::size_t i = 0; i < heartbeat_paths; ++i)
+  for (std::size_t i = 0; i < heartbeat_path_count; ++i)
     heartbeats_by_path_.at(i) = &family.Add({{"way", path_names.at(i)}});
   auto& lookups = prometheus::BuildCounter()
                       .Name("martenwall_lookups_total")
                       .Help("Jobs looked up, by what they were looked up for and what answered.")
                       .Register(*registry_);
-  for (std::size_t purpose = 0; purpose < lookup_purposes; ++purpose) {
-    for (std::size_t source = 0; source < lookup_sources; ++source) {
+  for (std::size_t purpose = 0; purpose < lookup_purpose_count; ++purpose) {
+    for (std::size_t source = 0; source < lookup_source_count; ++source) {
       lookups_.at(purpose).at(source) =
           &lookups.Add({{"purpose", purpose_names.at(purpose)}, {"source", source_names.at(source)}});
     }
@@ -115,23 +118,23 @@
 
 const char* name_of(LookupSource source) { return source_names.at(static_cast<std::size_t>(source)); }
 
-void Metrics::set(const Gauges& l) {
-  leads_.Set(l.leads ? 1 : 0);
-  connections_.Set(static_cast<double>(l.connections));
-  worker_connections_.Set(static_cast<double>(l.worker_connections));
-  worker_room_.Set(static_cast<double>(l.worker_room));
-  machines_.Set(static_cast<double>(l.machines));
-  jobs_.Set(static_cast<double>(l.jobs));
+void Metrics::set(const Gauges& gauges) {
+  leads_.Set(gauges.leads ? 1 : 0);
+  connections_.Set(static_cast<double>(gauges.connections));
+  worker_connections_.Set(static_cast<double>(gauges.worker_connections));
+  worker_capacity_.Set(static_cast<double>(gauges.worker_capacity));
+  machines_.Set(static_cast<double>(gauges.machines));
+  jobs_.Set(static_cast<double>(gauges.jobs));
   memory_.Set(static_cast<double>(resident_bytes()));
-  used_.Set(l.state_requests_used);
-  configuration_.Set(static_cast<double>(l.configuration));
-  for (std::size_t i = 0; i < l.store_queues.size(); ++i) {
-    queue_rows_.at(i)->Set(static_cast<double>(l.store_queues.at(i).rows));
-    queue_oldest_.at(i)->Set(l.store_queues.at(i).oldest_s);
+  state_requests_used_.Set(gauges.state_requests_used);
+  configuration_.Set(static_cast<double>(gauges.configuration));
+  for (std::size_t i = 0; i < gauges.store_queues.size(); ++i) {
+    queue_rows_.at(i)->Set(static_cast<double>(gauges.store_queues.at(i).rows));
+    queue_oldest_.at(i)->Set(gauges.store_queues.at(i).oldest_s);
   }
 }
 
-void Metrics::set(const std::vector<load::Served>& served) {
+void Metrics::set(const std::vector<load::ServiceCounts>& served) {
   for (const auto& s : served) {
     const auto set = [&](prometheus::Family<prometheus::Gauge>& family, prometheus::Labels labels, double value) {
       labels.insert({{"class", s.job_class}, {"team", s.team}});
@@ -148,34 +151,34 @@
 
 std::string Metrics::exposition() const { return prometheus::TextSerializer{}.Serialize(registry_->Collect()); }
 
-std::string Metrics::minute_line(const Gauges& l) {
+std::string Metrics::minute_line(const Gauges& gauges) {
   std::ostringstream out;
   out << std::fixed << std::setprecision(1);
-  const auto tell = [&](const char* what, const Timing::Minute& m) {
-    out << what << " " << m.count << " of " << m.mean_ms << " ms, longest " << m.longest_ms << "; ";
+  const auto print_timing = [&](const char* name, const Timing::Interval& interval) {
+    out << name << " " << interval.count << " of " << interval.mean_ms << " ms, longest " << interval.max_ms << "; ";
   };
-  out << (l.leads ? "leads; " : "");
-  tell("rounds", cycles.take_minute());
-  tell("store writes", store_writes.take_minute());
-  tell("reports", heartbeats.take_minute());
+  out << (gauges.leads ? "leads; " : "");
+  print_timing("rounds", cycles.consume_interval());
+  print_timing("store writes", store_writes.consume_interval());
+  print_timing("reports", heartbeats.consume_interval());
   out << "of them";
-  for (std::size_t i = 0; i < heartbeat_paths; ++i) {
+  for (std::size_t i = 0; i < heartbeat_path_count; ++i) {
     out << " " << std::exchange(heartbeats_this_minute_.at(i), 0) << " " << path_names.at(i);
   }
   out << "; queues";
-  for (const auto& q : l.store_queues) out << " " << q.rows << " (" << q.oldest_s << " s)";
-  out << "; state rate used " << l.state_requests_used << "; connections " << l.connections << ", workers'"
-      << " " << l.worker_connections << " of " << l.worker_room << "; " << l.machines << " machines, " << l.jobs
-      << " jobs; " << static_cast<double>(resident_bytes()) / 1e6 << " MB";
+  for (const auto& q : gauges.store_queues) out << " " << q.rows << " (" << q.oldest_s << " s)";
+  out << "; state rate used " << gauges.state_requests_used << "; connections " << gauges.connections << ", workers'"
+      << " " << gauges.worker_connections << " of " << gauges.worker_capacity << "; " << gauges.machines
+      << " machines, " << gauges.jobs << " jobs; " << static_cast<double>(resident_bytes()) / 1e6 << " MB";
   return out.str();
 }
 
 std::size_t resident_bytes() {
   std::ifstream in{"/proc/self/statm"};
-  std::size_t whole = 0;
-  std::size_t resident = 0;
-  if (!(in >> whole >> resident)) return 0;
-  return resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
+  std::size_t total_pages = 0;
+  std::size_t resident_pages = 0;
+  if (!(in >> total_pages >> resident_pages)) return 0;
+  return resident_pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
 }
 
 }  // namespace martenwall::metrics
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -23,17 +23,17 @@
   // One measured time.
   void observe(Duration measured);
   // What was observed since the call before.
-  struct Minute {
+  struct Interval {
     std::size_t count = 0;
-    double mean_ms = 0, longest_ms = 0;
+    double mean_ms = 0, max_ms = 0;
   };
   // Begins the next interval.
-  Minute take_minute();
+  Interval consume_interval();
 
  private:
   prometheus::Histogram& histogram_;
   std::size_t count_ = 0;
-  Duration sum_{0}, longest_{0};
+  Duration sum_{0}, max_{0};
 };
 
 // What became of a worker's heartbeat at this node.
@@ -44,11 +44,11 @@
   redirected,  // the worker was sent to another node for the sake of balance
   refused,     // 421 or 503
 };
-constexpr std::size_t heartbeat_paths = 5;
+constexpr std::size_t heartbeat_path_count = 5;
 
 // For what a job was looked up beyond this node's memory and the leader's word.
 enum class LookupPurpose { status_query, dependency_check };
-constexpr std::size_t lookup_purposes = 2;
+constexpr std::size_t lookup_purpose_count = 2;
 
 // What a lookup was answered from.
 enum class LookupSource {
@@ -59,12 +59,12 @@
   single_reads,     // its rows, each read by itself
   unanswered,       // nothing: the user has to ask again
 };
-constexpr std::size_t lookup_sources = 6;
+constexpr std::size_t lookup_source_count = 6;
 
 // The present state of a node; MetricsService fills it in.
 struct Gauges {
   bool leads = false;
-  std::size_t connections = 0, worker_connections = 0, worker_room = 0;
+  std::size_t connections = 0, worker_connections = 0, worker_capacity = 0;
   std::size_t machines = 0, jobs = 0;
   std::uint64_t configuration = 0;  // the version in force here
   // Rows that wait to be written to the store.
@@ -100,7 +100,7 @@
   // Before each exposition.
   void set(const Gauges& gauges);
   // Who is served, by class and team, as the leader counts it since it took over.
-  void set(const std::vector<load::Served>& served);
+  void set(const std::vector<load::ServiceCounts>& served);
   // The text that Prometheus scrapes (exposition format 0.0.4).
   [[nodiscard]] std::string exposition() const;
   // "rounds 42, 3.1 ms, longest 8.2 ms; ...": what happened since the line before.
@@ -108,13 +108,13 @@
 
  private:
   prometheus::Gauge& gauge(const char* name, const char* help, const prometheus::Labels& labels = {});
-  std::array<prometheus::Counter*, heartbeat_paths> heartbeats_by_path_{};
-  std::array<std::size_t, heartbeat_paths> heartbeats_this_minute_{};
-  std::array<std::array<prometheus::Counter*, lookup_sources>, lookup_purposes> lookups_{};
+  std::array<prometheus::Counter*, heartbeat_path_count> heartbeats_by_path_{};
+  std::array<std::size_t, heartbeat_path_count> heartbeats_this_minute_{};
+  std::array<std::array<prometheus::Counter*, lookup_source_count>, lookup_purpose_count> lookups_{};
   prometheus::Counter& takeovers_;
   prometheus::Family<prometheus::Gauge>&served_jobs_, &served_share_, &served_wait_;
-  prometheus::Gauge &leads_, &connections_, &worker_connections_, &worker_room_, &machines_, &jobs_, &memory_, &used_,
-      &configuration_;
+  prometheus::Gauge &leads_, &connections_, &worker_connections_, &worker_capacity_, &machines_, &jobs_, &memory_,
+      &state_requests_used_, &configuration_;
   std::array<prometheus::Gauge*, 3> queue_rows_{}, queue_oldest_{};
 };
 
--- a/src/relay/leader_link.cpp
+++ b/src/relay/leader_link.cpp
@@ -15,13 +15,13 @@
   return names.at(static_cast<std::size_t>(state));
 }
 
-LeaderLink::LeaderLink(Duration lease) : patience_(lease + election_time) {}
+LeaderLink::LeaderLink(Duration lease) : redirect_delay_(lease + election_time) {}
 
-void LeaderLink::enter(LinkState next, Time now) {
+void LeaderLink::transition_to(LinkState next, Time now) {
   if (next == state_) return;
   const bool was_failing = state_ == LinkState::suspected || state_ == LinkState::redirecting;
-  const bool will_fail = next == LinkState::suspected || next == LinkState::redirecting;
-  if (will_fail && !was_failing && state_ != LinkState::probing) failing_since_ = now;
+  const bool will_be_failing = next == LinkState::suspected || next == LinkState::redirecting;
+  if (will_be_failing && !was_failing && state_ != LinkState::probing) failing_since_ = now;
   state_ = next;
 }
 
@@ -30,23 +30,23 @@
   leader_ = node;
   failing_since_ = now;
   last_probe_ = Time{Duration::min() / 2};
-  enter(node.empty() ? LinkState::none : LinkState::probing, now);
+  transition_to(node.empty() ? LinkState::none : LinkState::probing, now);
 }
 
 void LeaderLink::on_failure(Time now) {
-  if (state_ == LinkState::open) enter(LinkState::suspected, now);
+  if (state_ == LinkState::open) transition_to(LinkState::suspected, now);
   if (state_ == LinkState::none || state_ == LinkState::redirecting) return;
-  if (now - failing_since_ >= patience_) enter(LinkState::redirecting, now);
+  if (now - failing_since_ >= redirect_delay_) transition_to(LinkState::redirecting, now);
 }
 
 void LeaderLink::on_probe_result(ProbeResult result, Time now) {
   if (state_ == LinkState::none) return;
   switch (result) {
     case ProbeResult::leader:
-      enter(LinkState::open, now);
+      transition_to(LinkState::open, now);
       return;
     case ProbeResult::unsupported:
-      enter(LinkState::redirecting, now);
+      transition_to(LinkState::redirecting, now);
       return;
     case ProbeResult::follower:  // what this node knows of the leadership is outdated
     case ProbeResult::none:
--- a/src/relay/leader_link.hpp
+++ b/src/relay/leader_link.hpp
@@ -64,10 +64,10 @@
   void probe_sent(Time now) { last_probe_ = now; }
 
  private:
-  void enter(LinkState next, Time now);
+  void transition_to(LinkState next, Time now);
   void on_failure(Time now);
 
-  Duration patience_;  // a failing link is `suspected` for so long, then `redirecting`
+  Duration redirect_delay_;  // a failing link is `suspected` for so long, then `redirecting`
   LinkState state_ = LinkState::none;
   std::string leader_;
   Time failing_since_{};
--- a/src/relay/worker_balancer.cpp
+++ b/src/relay/worker_balancer.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 constexpr Duration load_validity = seconds(3);    // each node speaks of itself once a second at least
-constexpr double share_tolerance = 1.2;           // a node holds so many times its fair share before it moves workers
-constexpr double extra_tolerance = 8;             // and so many besides: a handful is not worth a reconnection
+constexpr double share_tolerance_factor = 1.2;    // a node holds so many times its fair share before it moves workers
+constexpr double share_tolerance_workers = 8;     // and so many besides: a handful is not worth a reconnection
 constexpr double moves_per_worker_second = 0.02;  // of the workers held, so that they do not all reconnect at once
 constexpr double min_moves_per_second = 4;
-constexpr double fill_limit = 0.97;               // of another node's room that is filled from here
+constexpr double max_fill_fraction = 0.97;        // of another node's room that is filled from here
 constexpr Duration return_window = seconds(12);   // two silent nodes cost a worker ten seconds
 constexpr Duration avoid_duration = seconds(30);  // a node that a worker came back from
 }  // namespace
@@ -23,27 +23,27 @@
   auto& other = others_[node];
   other.load = load;
   other.updated_at = now;
-  other.moved_there = 0;
+  other.moved_since_update = 0;
 }
 
 double WorkerBalancer::weight(const std::string& node) const { return node == leader_ ? leader_weight_ : 1.0; }
 
 // How many workers the node should hold, never more than it has room for.
-double WorkerBalancer::fair_share(const std::string& node, NodeLoad load, const Fleet& fleet) const {
-  const double share = fleet.weights > 0 ? fleet.workers * weight(node) / fleet.weights : fleet.workers;
-  return std::min(share, static_cast<double>(load.room));
+double WorkerBalancer::fair_share(const std::string& node, NodeLoad load, const FleetTotals& totals) const {
+  const double share = totals.weights > 0 ? totals.workers * weight(node) / totals.weights : totals.workers;
+  return std::min(share, static_cast<double>(load.capacity));
 }
 
-bool WorkerBalancer::take_move_token(Time now, double moves_per_second) {
-  const double gained = move_tokens_at_ == Time{} ? 1 : to_seconds(now - move_tokens_at_) * moves_per_second;
-  move_tokens_ = std::min(move_tokens_ + gained, std::max(1.0, moves_per_second));
+bool WorkerBalancer::consume_move_token(Time now, double moves_per_second) {
+  const double accrued = move_tokens_at_ == Time{} ? 1 : to_seconds(now - move_tokens_at_) * moves_per_second;
+  move_tokens_ = std::min(move_tokens_ + accrued, std::max(1.0, moves_per_second));
   move_tokens_at_ = now;
   if (move_tokens_ < 1) return false;
   move_tokens_ -= 1;
   return true;
 }
 
-void WorkerBalancer::note_return(const MachineId& worker, Time now) {
+void WorkerBalancer::record_return(const MachineId& worker, Time now) {
   if (now - moves_pruned_at_ > return_window) {
     std::erase_if(moves_, [&](const auto& entry) { return now - entry.second.at > return_window; });
     moves_pruned_at_ = now;
@@ -58,51 +58,53 @@
 }
 
 // The node that has most room below its own fair share; when this node is full, below its room. `end` where none has.
-std::map<std::string, WorkerBalancer::OtherNode>::iterator WorkerBalancer::find_target(bool full, const Fleet& fleet,
+std::map<std::string, WorkerBalancer::OtherNode>::iterator WorkerBalancer::find_target(bool full,
+                                                                                       const FleetTotals& totals,
                                                                                        Time now) {
   auto best = others_.end();
-  double best_room = 0;
+  double most_spare = 0;
   for (auto it = others_.begin(); it != others_.end(); ++it) {
     const OtherNode& other = it->second;
     if (now - other.updated_at > load_validity || now < other.avoid_until) continue;
     const double limit =
-        full ? static_cast<double>(other.load.room) * fill_limit : fair_share(it->first, other.load, fleet);
-    const double room = limit - other.expected_workers();
-    if (room <= best_room) continue;
-    best_room = room;
+        full ? static_cast<double>(other.load.capacity) * max_fill_fraction : fair_share(it->first, other.load, totals);
+    const double spare = limit - other.expected_workers();
+    if (spare <= most_spare) continue;
+    most_spare = spare;
     best = it;
   }
   return best;
 }
 
-WorkerBalancer::Fleet WorkerBalancer::fleet(NodeLoad own, Time now) const {
-  Fleet sum{static_cast<double>(own.workers), weight(node_)};
+WorkerBalancer::FleetTotals WorkerBalancer::fleet_totals(NodeLoad own_load, Time now) const {
+  FleetTotals totals{static_cast<double>(own_load.workers), weight(node_)};
   for (const auto& [name, other] : others_) {
     if (now - other.updated_at > load_validity) continue;
-    sum.workers += other.expected_workers();
-    sum.weights += weight(name);
+    totals.workers += other.expected_workers();
+    totals.weights += weight(name);
   }
-  return sum;
+  return totals;
 }
 
-Assignment WorkerBalancer::assign(const MachineId& worker, NodeLoad own, Time now) {
-  note_return(worker, now);
-  const Fleet sum = fleet(own, now);
-  const auto held = static_cast<double>(own.workers);
-  const bool full = own.workers > own.room;
-  const bool above_share = held > fair_share(node_, own, sum) * share_tolerance + extra_tolerance;
+Assignment WorkerBalancer::assign(const MachineId& worker, NodeLoad own_load, Time now) {
+  record_return(worker, now);
+  const FleetTotals totals = fleet_totals(own_load, now);
+  const auto held_workers = static_cast<double>(own_load.workers);
+  const bool full = own_load.workers > own_load.capacity;
+  const bool above_share =
+      held_workers > fair_share(node_, own_load, totals) * share_tolerance_factor + share_tolerance_workers;
   if (!full && !above_share) return {};
-  const auto target = find_target(full, sum, now);
-  const double moves_per_second = std::max(min_moves_per_second, held * moves_per_worker_second);
-  const bool moves = target != others_.end() && (full || take_move_token(now, moves_per_second));
-  if (!moves) return {full ? Assignment::Kind::keep_and_close : Assignment::Kind::keep, {}};
-  ++target->second.moved_there;
+  const auto target = find_target(full, totals, now);
+  const double moves_per_second = std::max(min_moves_per_second, held_workers * moves_per_worker_second);
+  const bool can_move = target != others_.end() && (full || consume_move_token(now, moves_per_second));
+  if (!can_move) return {full ? Assignment::Kind::keep_and_close : Assignment::Kind::keep, {}};
+  ++target->second.moved_since_update;
   moves_[worker] = {target->first, now};
   return {Assignment::Kind::move, target->first};
 }
 
-std::map<std::string, NodeLoad> WorkerBalancer::known(NodeLoad own, Time now) const {
-  std::map<std::string, NodeLoad> loads{{node_, own}};
+std::map<std::string, NodeLoad> WorkerBalancer::recent_loads(NodeLoad own_load, Time now) const {
+  std::map<std::string, NodeLoad> loads{{node_, own_load}};
   for (const auto& [name, other] : others_) {
     if (now - other.updated_at <= load_validity) loads.emplace(name, other.load);
   }
--- a/src/relay/worker_balancer.hpp
+++ b/src/relay/worker_balancer.hpp
@@ -10,8 +10,8 @@
 
 // What a node says of itself.
 struct NodeLoad {
-  std::size_t workers = 0;  // connections of workers that it holds
-  std::size_t room = 0;     // as many as it would hold
+  std::size_t workers = 0;   // connections of workers that it holds
+  std::size_t capacity = 0;  // as many as it would hold
 };
 
 // Where a worker that reports here should report from now on.
@@ -33,7 +33,7 @@
   // `leader_weight`: part of an ordinary node's share that a leader takes, which has more to do.
   WorkerBalancer(std::string node, double leader_weight);
 
-  // Another node's load, heard directly or through the leader; ignored where it is this node's own. Valid for 3 s.
+  // Another node's load, heard directly or through the leader; ignored where it is this node's own_load. Valid for 3 s.
   void on_node_load(const std::string& node, NodeLoad load, Time now);
 
   // The node that leads, which takes a smaller share; empty where none is known.
@@ -41,34 +41,34 @@
 
   // For a worker that reports here; `own` counts its connection too. Remembers whom it moves: one that comes back
   // soon did not get through, so that its node is left alone for a while.
-  Assignment assign(const MachineId& worker, NodeLoad own, Time now);
+  Assignment assign(const MachineId& worker, NodeLoad own_load, Time now);
 
   // Nodes heard of lately, this one included, for those that hear of them through this one.
-  [[nodiscard]] std::map<std::string, NodeLoad> known(NodeLoad own, Time now) const;
+  [[nodiscard]] std::map<std::string, NodeLoad> recent_loads(NodeLoad own_load, Time now) const;
 
  private:
   struct OtherNode {
     NodeLoad load;
     Time updated_at{};
-    std::size_t moved_there = 0;  // from here, since its load was updated
-    Time avoid_until{};           // workers do not get through to it
-    [[nodiscard]] double expected_workers() const { return static_cast<double>(load.workers + moved_there); }
+    std::size_t moved_since_update = 0;  // from here, since its load was updated
+    Time avoid_until{};                  // workers do not get through to it
+    [[nodiscard]] double expected_workers() const { return static_cast<double>(load.workers + moved_since_update); }
   };
   struct Move {
     std::string to;
     Time at{};
   };
   // The workers and the weights of all nodes heard of lately.
-  struct Fleet {
+  struct FleetTotals {
     double workers = 0;
     double weights = 0;
   };
-  void note_return(const MachineId& worker, Time now);
-  [[nodiscard]] Fleet fleet(NodeLoad own, Time now) const;
-  std::map<std::string, OtherNode>::iterator find_target(bool full, const Fleet& fleet, Time now);
+  void record_return(const MachineId& worker, Time now);
+  [[nodiscard]] FleetTotals fleet_totals(NodeLoad own_load, Time now) const;
+  std::map<std::string, OtherNode>::iterator find_target(bool full, const FleetTotals& totals, Time now);
   [[nodiscard]] double weight(const std::string& node) const;
-  [[nodiscard]] double fair_share(const std::string& node, NodeLoad load, const Fleet& fleet) const;
-  bool take_move_token(Time now, double moves_per_second);
+  [[nodiscard]] double fair_share(const std::string& node, NodeLoad load, const FleetTotals& totals) const;
+  bool consume_move_token(Time now, double moves_per_second);
 
   std::string node_, leader_;
   double leader_weight_;
--- a/src/runtime/http_client.cpp
+++ b/src/runtime/http_client.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration idle_limit = seconds(30);
+constexpr Duration max_idle_time = seconds(30);
 
 // A kept connection that the other side has closed meanwhile is readable (with nothing, or an error).
 bool still_open(const Socket& s) {
@@ -20,8 +20,12 @@
 
 }  // namespace
 
-HttpClient::HttpClient(Loop& loop, std::size_t max_open, std::size_t max_body, std::size_t max_idle)
-    : loop_(loop), max_open_(max_open), max_body_(max_body), max_idle_(max_idle) {}
+HttpClient::HttpClient(Loop& loop, std::size_t max_open_requests, std::size_t max_body_bytes,
+                       std::size_t max_idle_connections)
+    : loop_(loop),
+      max_open_requests_(max_open_requests),
+      max_body_bytes_(max_body_bytes),
+      max_idle_connections_(max_idle_connections) {}
 
 std::optional<Socket> HttpClient::take_idle(const std::string& to) {
   const auto it = idle_.find(to);
@@ -30,8 +34,8 @@
   while (!list.empty()) {
     Idle last = std::move(list.back());
     list.pop_back();
-    --kept_;
-    if (loop_.now() - last.since < idle_limit && still_open(last.socket)) {
+    --idle_connections_;
+    if (loop_.now() - last.since < max_idle_time && still_open(last.socket)) {
       return std::move(last.socket);
     }
   }
@@ -39,27 +43,28 @@
   return std::nullopt;
 }
 
-void HttpClient::keep(const std::string& to, Socket socket) {
-  if (loop_.now() >= next_sweep_) {
-    next_sweep_ = loop_.now() + seconds(1);
+void HttpClient::store_idle(const std::string& to, Socket socket) {
+  if (loop_.now() >= next_idle_sweep_) {
+    next_idle_sweep_ = loop_.now() + seconds(1);
     for (auto it = idle_.begin(); it != idle_.end();) {
-      kept_ -= std::erase_if(it->second, [&](const Idle& i) { return loop_.now() - i.since >= idle_limit; });
+      idle_connections_ -=
+          std::erase_if(it->second, [&](const Idle& i) { return loop_.now() - i.since >= max_idle_time; });
       it = it->second.empty() ? idle_.erase(it) : std::next(it);
     }
   }
-  if (kept_ >= max_idle_) return;
+  if (idle_connections_ >= max_idle_connections_) return;
   idle_[to].push_back(Idle{std::move(socket), loop_.now()});
-  ++kept_;
+  ++idle_connections_;
 }
 
 Task<HttpResult> HttpClient::request(std::string to, std::string method, std::string target, std::string body,
                                      Duration timeout) {
-  if (open_ >= max_open_) co_return HttpResult{};
-  ++open_;
+  if (open_requests_ >= max_open_requests_) co_return HttpResult{};
+  ++open_requests_;
   std::string bytes = write_request(method, target, to, body);
   const Time deadline = loop_.now() + timeout;
   HttpResult result = co_await exchange(std::move(to), std::move(bytes), deadline);
-  --open_;
+  --open_requests_;
   co_return result;
 }
 
@@ -68,21 +73,21 @@
   if (!socket) {
     auto endpoint = Endpoint::parse(to);
     if (!endpoint) co_return HttpResult{};
-    auto fresh = co_await Socket::connect(loop_, std::move(*endpoint), deadline);
-    if (!fresh) co_return HttpResult{};
-    socket.emplace(std::move(*fresh));
+    auto connected = co_await Socket::connect(loop_, std::move(*endpoint), deadline);
+    if (!connected) co_return HttpResult{};
+    socket.emplace(std::move(*connected));
   }
   bool reusable = false;
-  HttpResult result = co_await talk(*socket, bytes, deadline, reusable);
-  if (reusable) keep(to, std::move(*socket));
+  HttpResult result = co_await send_and_receive(*socket, bytes, deadline, reusable);
+  if (reusable) store_idle(to, std::move(*socket));
   co_return result;
 }
 
-Task<HttpResult> HttpClient::talk(Socket& socket, const std::string& bytes, Time deadline, bool& reusable) {
+Task<HttpResult> HttpClient::send_and_receive(Socket& socket, const std::string& bytes, Time deadline, bool& reusable) {
   HttpResult result{Outcome::unknown, 0, {}};
   const bool sent = co_await socket.write_all(bytes, deadline);
   if (!sent) co_return result;
-  HttpParser parser{HttpParser::Kind::response, HttpParser::Limits{16 * 1024, max_body_}};
+  HttpParser parser{HttpParser::Kind::response, HttpParser::Limits{16 * 1024, max_body_bytes_}};
   std::array<char, 16384> buffer{};
   while (!parser.complete()) {
     const long n = co_await socket.read_some(buffer.data(), buffer.size(), deadline);
@@ -95,7 +100,7 @@
     }
     if (parser.failed()) co_return result;
   }
-  HttpMessage message = parser.take();
+  HttpMessage message = parser.take_message();
   reusable = message.keep_alive;
   result = HttpResult{Outcome::answered, message.status, std::move(message.body)};
   co_return result;
--- a/src/runtime/http_client.hpp
+++ b/src/runtime/http_client.hpp
@@ -29,9 +29,9 @@
 // Requests to any number of addresses. Its owner keeps it alive until every request has ended.
 class HttpClient {
  public:
-  // At most `max_open` requests at once, further ones are `not_sent`; `max_idle` connections are kept between requests.
-  // A response whose body is longer than `max_body` bytes fails.
-  HttpClient(Loop& loop, std::size_t max_open, std::size_t max_body, std::size_t max_idle);
+  // At most `max_open_requests` requests at once, further ones are `not_sent`; `max_idle_connections` connections are
+  // kept between requests. A response whose body is longer than `max_body_bytes` bytes fails.
+  HttpClient(Loop& loop, std::size_t max_open_requests, std::size_t max_body_bytes, std::size_t max_idle_connections);
 
   // One request to the address `to` ("10.1.0.232:9000"). Ends at the timeout at the latest.
   Task<HttpResult> request(std::string to, std::string method, std::string target, std::string body, Duration timeout);
@@ -42,17 +42,17 @@
     Time since;
   };
   Task<HttpResult> exchange(std::string to, std::string bytes, Time deadline);
-  Task<HttpResult> talk(Socket& socket, const std::string& bytes, Time deadline, bool& reusable);
+  Task<HttpResult> send_and_receive(Socket& socket, const std::string& bytes, Time deadline, bool& reusable);
   std::optional<Socket> take_idle(const std::string& to);
-  void keep(const std::string& to, Socket socket);
+  void store_idle(const std::string& to, Socket socket);
 
   Loop& loop_;
-  std::size_t max_open_;
-  std::size_t max_body_;
-  std::size_t max_idle_;
-  std::size_t open_ = 0;
-  std::size_t kept_ = 0;
-  Time next_sweep_{};
+  std::size_t max_open_requests_;
+  std::size_t max_body_bytes_;
+  std::size_t max_idle_connections_;
+  std::size_t open_requests_ = 0;
+  std::size_t idle_connections_ = 0;
+  Time next_idle_sweep_{};
   std::map<std::string, std::vector<Idle>> idle_;
 };
 
--- a/src/runtime/http_parser.cpp
+++ b/src/runtime/http_parser.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::string_view token_marks = "!#$%&'*+-.^_`|~";
+constexpr std::string_view token_punctuation = "!#$%&'*+-.^_`|~";
 
 bool is_token_char(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-         token_marks.find(c) != std::string_view::npos;
+         token_punctuation.find(c) != std::string_view::npos;
 }
 
 bool is_token(std::string_view s) { return !s.empty() && std::ranges::all_of(s, is_token_char); }
@@ -50,14 +50,14 @@
 
 void HttpParser::fail(int status) {
   error_status_ = status;
-  enter(State::failed);
+  transition_to(State::failed);
 }
 
-bool HttpParser::take_line(std::string_view data, std::size_t& pos) {
+bool HttpParser::consume_line(std::string_view data, std::size_t& pos) {
   const auto end = data.find('\n', pos);
   const auto stop = end == std::string_view::npos ? data.size() : end + 1;
   head_bytes_ += stop - pos;
-  if (head_bytes_ > limits_.head) {
+  if (head_bytes_ > limits_.max_head_bytes) {
     fail(431);
     return false;
   }
@@ -73,8 +73,8 @@
   std::size_t pos = 0;
   while (pos < data.size() && state_ != State::complete && state_ != State::failed) {
     if (state_ == State::body || state_ == State::chunk_data || state_ == State::until_close) {
-      pos += take_body(data.substr(pos));
-    } else if (take_line(data, pos)) {
+      pos += consume_body(data.substr(pos));
+    } else if (consume_line(data, pos)) {
       on_line();
       line_.clear();
     }
@@ -84,7 +84,7 @@
 
 void HttpParser::end_of_input() {
   if (state_ == State::until_close) {
-    enter(State::complete);
+    transition_to(State::complete);
   } else if (state_ != State::complete) {
     fail(400);
   }
@@ -100,9 +100,9 @@
     case State::chunk_size:
       return on_chunk_size();
     case State::chunk_end:
-      return line_.empty() ? enter(State::chunk_size) : fail(400);
+      return line_.empty() ? transition_to(State::chunk_size) : fail(400);
     case State::trailers:
-      if (line_.empty()) enter(State::complete);
+      if (line_.empty()) transition_to(State::complete);
       return;
     default:
       return fail(400);
@@ -125,7 +125,7 @@
     return fail(version.starts_with("HTTP/") ? 505 : 400);
   }
   message_.keep_alive = version == "HTTP/1.1";
-  enter(State::headers);
+  transition_to(State::headers);
 }
 
 void HttpParser::on_status_line() {
@@ -135,7 +135,7 @@
   if (!status || *status < 100 || *status > 599) return fail(400);
   message_.status = static_cast<int>(*status);
   message_.keep_alive = line[7] == '1';
-  enter(State::headers);
+  transition_to(State::headers);
 }
 
 void HttpParser::on_header_line() {
@@ -147,8 +147,8 @@
   const auto value = trim(line.substr(colon + 1));
   if (name == "content-length") {
     const auto n = number(value, 10);
-    if (!n || (length_ && *length_ != *n)) return fail(400);
-    length_ = n;
+    if (!n || (content_length_ && *content_length_ != *n)) return fail(400);
+    content_length_ = n;
   } else if (name == "transfer-encoding") {
     if (lower(value) != "chunked") return fail(501);
     chunked_ = true;
@@ -162,43 +162,43 @@
 
 void HttpParser::on_headers_end() {
   // Both at once is how requests are smuggled past another reader of the same bytes.
-  if (chunked_ && length_) return fail(400);
-  if (chunked_) return enter(State::chunk_size);
+  if (chunked_ && content_length_) return fail(400);
+  if (chunked_) return transition_to(State::chunk_size);
   const bool bodiless =
       kind_ == Kind::response && (message_.status < 200 || message_.status == 204 || message_.status == 304);
-  if (bodiless) return enter(State::complete);
-  if (!length_ && kind_ == Kind::response) return enter(State::until_close);
-  left_ = length_.value_or(0);
-  if (left_ > limits_.body) return fail(413);
-  enter(left_ == 0 ? State::complete : State::body);
+  if (bodiless) return transition_to(State::complete);
+  if (!content_length_ && kind_ == Kind::response) return transition_to(State::until_close);
+  remaining_bytes_ = content_length_.value_or(0);
+  if (remaining_bytes_ > limits_.max_body_bytes) return fail(413);
+  transition_to(remaining_bytes_ == 0 ? State::complete : State::body);
 }
 
 void HttpParser::on_chunk_size() {
   const std::string_view line = line_;
   const auto size = number(trim(line.substr(0, line.find(';'))), 16);
   if (!size) return fail(400);
-  if (*size > limits_.body || message_.body.size() + *size > limits_.body) return fail(413);
-  left_ = *size;
-  enter(left_ == 0 ? State::trailers : State::chunk_data);
+  if (*size > limits_.max_body_bytes || message_.body.size() + *size > limits_.max_body_bytes) return fail(413);
+  remaining_bytes_ = *size;
+  transition_to(remaining_bytes_ == 0 ? State::trailers : State::chunk_data);
 }
 
-std::size_t HttpParser::take_body(std::string_view data) {
+std::size_t HttpParser::consume_body(std::string_view data) {
   if (state_ == State::until_close) {
-    if (message_.body.size() + data.size() > limits_.body) {
+    if (message_.body.size() + data.size() > limits_.max_body_bytes) {
       fail(413);
     } else {
       message_.body.append(data);
     }
     return data.size();
   }
-  const auto n = static_cast<std::size_t>(std::min<std::uint64_t>(left_, data.size()));
+  const auto n = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_bytes_, data.size()));
   message_.body.append(data.substr(0, n));
-  left_ -= n;
-  if (left_ == 0) enter(state_ == State::body ? State::complete : State::chunk_end);
+  remaining_bytes_ -= n;
+  if (remaining_bytes_ == 0) transition_to(state_ == State::body ? State::complete : State::chunk_end);
   return n;
 }
 
-HttpMessage HttpParser::take() {
+HttpMessage HttpParser::take_message() {
   auto out = std::move(message_);
   *this = HttpParser{kind_, limits_};
   return out;
@@ -214,7 +214,7 @@
   return out;
 }
 
-std::string_view reason_of(int status) {
+std::string_view reason_phrase(int status) {
   static constexpr std::array<std::pair<int, std::string_view>, 16> reasons{{{200, "OK"},
                                                                              {201, "Created"},
                                                                              {400, "Bad Request"},
--- a/src/runtime/http_parser.hpp
+++ b/src/runtime/http_parser.hpp
@@ -42,8 +42,8 @@
   };
   // Bytes of a message; a longer one fails.
   struct Limits {
-    std::size_t head = 16 * 1024;
-    std::size_t body = 64 * 1024;
+    std::size_t max_head_bytes = 16 * 1024;
+    std::size_t max_body_bytes = 64 * 1024;
   };
   // Ready for the first message.
   HttpParser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
@@ -59,27 +59,27 @@
   // Some byte of the message was read.
   [[nodiscard]] bool started() const { return head_bytes_ > 0; }
   [[nodiscard]] int error_status() const { return error_status_; }  // what a server should answer
-  HttpMessage take();                                               // after complete(); ready for the next message then
+  HttpMessage take_message();                                       // after complete(); ready for the next message then
 
  private:
-  void enter(State next) { state_ = next; }
+  void transition_to(State next) { state_ = next; }
   void fail(int status);
-  bool take_line(std::string_view data, std::size_t& pos);
+  bool consume_line(std::string_view data, std::size_t& pos);
   void on_line();
   void on_request_line();
   void on_status_line();
   void on_header_line();
   void on_headers_end();
   void on_chunk_size();
-  std::size_t take_body(std::string_view data);
+  std::size_t consume_body(std::string_view data);
 
   Kind kind_;
   Limits limits_;
   State state_ = State::start_line;
   std::string line_;
   std::size_t head_bytes_ = 0;
-  std::uint64_t left_ = 0;
-  std::optional<std::uint64_t> length_;
+  std::uint64_t remaining_bytes_ = 0;
+  std::optional<std::uint64_t> content_length_;
   bool chunked_ = false;
   int error_status_ = 400;
   HttpMessage message_;
@@ -88,6 +88,6 @@
 // The bytes of a request with a body, and what is written after a status.
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
                           std::string_view body);
-std::string_view reason_of(int status);
+std::string_view reason_phrase(int status);
 
 }  // namespace martenwall::rt
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -6,11 +6,14 @@
 
 namespace {
 
-constexpr Duration catching_up = seconds(0.5);
+constexpr Duration stall_recovery_window = seconds(0.5);
 
 std::string write_response(const HttpResponse& r, bool close) {
   std::string out = "HTTP/1.1 " + std::to_string(r.status) + " ";
-  out.append(reason_of(r.status)).append("\r\nContent-Type: ").append(r.content_type).append("\r\nContent-Length: ");
+  out.append(reason_phrase(r.status))
+      .append("\r\nContent-Type: ")
+      .append(r.content_type)
+      .append("\r\nContent-Length: ");
   out.append(std::to_string(r.body.size()));
   if (r.retry_after_s) out.append("\r\nRetry-After: ").append(std::to_string(*r.retry_after_s));
   if (close) out.append("\r\nConnection: close");
@@ -20,47 +23,48 @@
 
 }  // namespace
 
-HttpServer::HttpServer(Loop& loop, const Endpoint& at, Bounds bounds, Handler handler)
-    : loop_(loop), listener_(loop, at), bounds_(std::move(bounds)), handler_(std::move(handler)) {}
+HttpServer::HttpServer(Loop& loop, const Endpoint& at, Limits limits, Handler handler)
+    : loop_(loop), listener_(loop, at), limits_(std::move(limits)), handler_(std::move(handler)) {}
 
 Task<void> HttpServer::serve() {
   for (;;) {
     auto socket = co_await listener_.accept();
     // Over the bound the connection is closed at once, so that its user tries another node.
-    if (!socket || open_ >= bounds_.connections) continue;
+    if (!socket || open_connections_ >= limits_.max_connections) continue;
     spawn(connection(std::move(*socket)));
   }
 }
 
-Task<std::optional<HttpMessage>> HttpServer::read_request(Socket& socket, HttpParser& parser, std::string& spare,
-                                                          Duration idle) {
-  Time deadline = loop_.now() + idle;
+Task<std::optional<HttpMessage>> HttpServer::read_request(Socket& socket, HttpParser& parser, std::string& unparsed,
+                                                          Duration idle_timeout) {
+  Time deadline = loop_.now() + idle_timeout;
   std::array<char, 8192> buffer{};
   for (;;) {
     const bool before = parser.started();
-    spare.erase(0, parser.feed(spare));
-    if (!before && parser.started()) deadline = loop_.now() + bounds_.request;
-    if (parser.complete()) co_return std::optional<HttpMessage>{parser.take()};
+    unparsed.erase(0, parser.feed(unparsed));
+    if (!before && parser.started()) deadline = loop_.now() + limits_.request_timeout;
+    if (parser.complete()) co_return std::optional<HttpMessage>{parser.take_message()};
     if (parser.failed()) co_return std::nullopt;
     const long n = co_await socket.read_some(buffer.data(), buffer.size(), deadline);
     if (n <= 0) co_return std::nullopt;
-    spare.append(buffer.data(), static_cast<std::size_t>(n));
+    unparsed.append(buffer.data(), static_cast<std::size_t>(n));
   }
 }
 
 Task<void> HttpServer::connection(Socket socket) {
-  ++open_;
+  ++open_connections_;
   HttpParser parser{HttpParser::Kind::request, HttpParser::Limits{}};
-  std::string spare;
+  std::string unparsed;
   bool bulk = false;
   for (;;) {
-    auto request = co_await read_request(socket, parser, spare, bulk ? bounds_.bulk_idle : bounds_.idle);
-    const bool is_bulk = request && !bounds_.bulk_path.empty() && request->target.starts_with(bounds_.bulk_path);
-    if (is_bulk && !std::exchange(bulk, true)) ++bulk_;
+    auto request =
+        co_await read_request(socket, parser, unparsed, bulk ? limits_.bulk_idle_timeout : limits_.idle_timeout);
+    const bool is_bulk = request && !limits_.bulk_path.empty() && request->target.starts_with(limits_.bulk_path);
+    if (is_bulk && !std::exchange(bulk, true)) ++bulk_connections_;
     // What waited while this process stood still is older than its sender's patience: work for someone who has
     // left would only hold up those who are there.
-    const bool after_stall = loop_.now() - loop_.last_stall().ended < catching_up;
-    if (request && after_stall && socket.abandoned()) break;
+    const bool after_stall = loop_.now() - loop_.last_stall().ended < stall_recovery_window;
+    if (request && after_stall && socket.peer_closed()) break;
     HttpResponse response;
     bool close = true;
     if (request) {
@@ -78,12 +82,12 @@
     }
     close = close || response.close;
     const std::string bytes = write_response(response, close);
-    const Time deadline = loop_.now() + bounds_.answer;
+    const Time deadline = loop_.now() + limits_.response_timeout;
     const bool sent = co_await socket.write_all(bytes, deadline);
     if (!sent || close) break;
   }
-  if (bulk) --bulk_;
-  --open_;
+  if (bulk) --bulk_connections_;
+  --open_connections_;
 }
 
 }  // namespace martenwall::rt
--- a/src/runtime/http_server.hpp
+++ b/src/runtime/http_server.hpp
@@ -1,4 +1,4 @@
-// Serves HTTP/1.1 on a listener. Every connection has deadlines and bounds.
+// Serves HTTP/1.1 on a listener. Every connection has deadlines and limits.
 #pragma once
 #include <functional>
 #include <optional>
@@ -23,18 +23,18 @@
  public:
   using Handler = std::function<Task<HttpResponse>(HttpMessage)>;
   // Limits of connections in number and time.
-  struct Bounds {
-    std::size_t connections = 256;
-    Duration idle = seconds(90);     // between requests
-    Duration request = seconds(10);  // from a request's first byte to its last
-    Duration answer = seconds(10);   // to take our response
+  struct Limits {
+    std::size_t max_connections = 256;
+    Duration idle_timeout = seconds(90);      // between requests
+    Duration request_timeout = seconds(10);   // from a request's first byte to its last
+    Duration response_timeout = seconds(10);  // to take our response
     // Connections whose requests begin with this path are counted apart: they are many, and give way to others.
     std::string bulk_path{};
-    Duration bulk_idle = seconds(90);
+    Duration bulk_idle_timeout = seconds(90);
   };
 
   // Listens from here on; throws where the address cannot be bound. `handler` is called only after `serve` was started.
-  HttpServer(Loop& loop, const Endpoint& at, Bounds bounds, Handler handler);
+  HttpServer(Loop& loop, const Endpoint& at, Limits limits, Handler handler);
 
   // Accepts connections; never ends.
   Task<void> serve();
@@ -42,20 +42,21 @@
   // The port that it listens on.
   [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
   // Open connections.
-  [[nodiscard]] std::size_t open() const { return open_; }
-  // Those of them that have sent a request to `Bounds::bulk_path`.
-  [[nodiscard]] std::size_t bulk() const { return bulk_; }
+  [[nodiscard]] std::size_t open_connections() const { return open_connections_; }
+  // Those of them that have sent a request to `Limits::bulk_path`.
+  [[nodiscard]] std::size_t bulk_connections() const { return bulk_connections_; }
 
  private:
   Task<void> connection(Socket socket);
-  Task<std::optional<HttpMessage>> read_request(Socket& socket, HttpParser& parser, std::string& spare, Duration idle);
+  Task<std::optional<HttpMessage>> read_request(Socket& socket, HttpParser& parser, std::string& unparsed,
+                                                Duration idle_timeout);
 
   Loop& loop_;
   Listener listener_;
-  Bounds bounds_;
+  Limits limits_;
   Handler handler_;
-  std::size_t open_ = 0;
-  std::size_t bulk_ = 0;  // of these, by `Bounds::bulk_path`
+  std::size_t open_connections_ = 0;
+  std::size_t bulk_connections_ = 0;  // of these, by `Limits::bulk_path`
 };
 
 }  // namespace martenwall::rt
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -10,8 +10,8 @@
 namespace martenwall::rt {
 
 namespace {
-constexpr Duration least_stall = seconds(1);
-constexpr std::size_t events_at_once = 256;
+constexpr Duration min_stall = seconds(1);
+constexpr std::size_t max_epoll_events = 256;
 
 auto steady_now() { return std::chrono::steady_clock::now(); }
 }  // namespace
@@ -20,7 +20,7 @@
 
 Loop::Loop(Clock clock) : clock_(std::move(clock)), epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
-  refresh();
+  update_time();
 }
 
 // What is left belongs to coroutines that will never be resumed.
@@ -29,10 +29,10 @@
   ::close(epoll_);
 }
 
-Time Loop::refresh() {
+Time Loop::update_time() {
   const Time now = clock_();
-  const Duration gap = now - now_ - expected_;
-  const bool stalled = now_ != Time{} && gap >= least_stall;
+  const Duration gap = now - now_ - expected_wait_;
+  const bool stalled = now_ != Time{} && gap >= min_stall;
   now_ = now;
   if (stalled) {
     stall_ = {now, gap};
@@ -56,7 +56,7 @@
   waiters_.erase(fd);
 }
 
-Loop::TimerKey Loop::arm(Time at, Timer t) {
+Loop::TimerKey Loop::add_timer(Time at, Timer t) {
   const TimerKey key{at, next_id_++};
   timers_.emplace(key, t);
   return key;
@@ -66,12 +66,12 @@
   handle = h;
   auto& w = loop.waiters_[fd];
   (direction == Direction::read ? w.reader : w.writer) = this;
-  key = loop.arm(deadline, {h, this});
+  key = loop.add_timer(deadline, {h, this});
 }
 
-void Loop::Sleep::await_suspend(std::coroutine_handle<> h) { loop.arm(until, {h, nullptr}); }
+void Loop::Sleep::await_suspend(std::coroutine_handle<> h) { loop.add_timer(until, {h, nullptr}); }
 
-void Loop::fire(IoWait*& slot, bool ready) {
+void Loop::wake(IoWait*& slot, bool ready) {
   auto* wait = std::exchange(slot, nullptr);
   if (wait == nullptr) return;
   wait->ready = ready;
@@ -103,32 +103,32 @@
   const auto it = waiters_.find(e.data.fd);
   if (it == waiters_.end()) return;
   constexpr unsigned failed = EPOLLERR | EPOLLHUP;
-  if ((e.events & (EPOLLIN | EPOLLRDHUP | failed)) != 0) fire(it->second.reader, true);
-  if ((e.events & (EPOLLOUT | failed)) != 0) fire(it->second.writer, true);
+  if ((e.events & (EPOLLIN | EPOLLRDHUP | failed)) != 0) wake(it->second.reader, true);
+  if ((e.events & (EPOLLOUT | failed)) != 0) wake(it->second.writer, true);
 }
 
 void Loop::step() {
   run_ready();
   int timeout = 1000;
   if (!timers_.empty()) {
-    const auto left = timers_.begin()->first.first - refresh();
+    const auto left = timers_.begin()->first.first - update_time();
     timeout = static_cast<int>(std::clamp<std::int64_t>((left.count() + 999) / 1000, 0, 1000));
   }
-  pass(timeout);
+  poll_events(timeout);
 }
 
 bool Loop::poll() {
   const bool posted = !ready_.empty();
   run_ready();
-  return pass(0) || posted;
+  return poll_events(0) || posted;
 }
 
-bool Loop::pass(int timeout_ms) {
-  std::array<epoll_event, events_at_once> events{};
-  expected_ = std::chrono::milliseconds(timeout_ms);
+bool Loop::poll_events(int timeout_ms) {
+  std::array<epoll_event, max_epoll_events> events{};
+  expected_wait_ = std::chrono::milliseconds(timeout_ms);
   const int n = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
-  refresh();
-  expected_ = Duration{0};
+  update_time();
+  expected_wait_ = Duration{0};
   for (int i = 0; i < n; ++i) dispatch(events.at(static_cast<std::size_t>(i)));
   run_timers();
   const bool any = !ready_.empty();
@@ -142,12 +142,12 @@
 
 void Event::Wait::await_suspend(std::coroutine_handle<> h) {
   handle = h;
-  place = event.waiting_.insert(event.waiting_.end(), this);
-  key = event.loop_.arm(deadline, {h, nullptr});
+  position = event.waiting_.insert(event.waiting_.end(), this);
+  key = event.loop_.add_timer(deadline, {h, nullptr});
 }
 
 bool Event::Wait::await_resume() noexcept {
-  if (!notified) event.waiting_.erase(place);
+  if (!notified) event.waiting_.erase(position);
   return notified;
 }
 
--- a/src/runtime/loop.hpp
+++ b/src/runtime/loop.hpp
@@ -16,7 +16,7 @@
 namespace martenwall::rt {
 
 // Runs all coroutines of a process, one at a time: between two suspensions nothing else changes. `now` is the time of
-// the current pass, the same until the loop goes on or `refresh` is called.
+// the current pass, the same until the loop goes on or `update_time` is called.
 class Loop {
  public:
   using TimerKey = std::pair<Time, std::uint64_t>;
@@ -37,7 +37,7 @@
   // The time of the current pass.
   [[nodiscard]] Time now() const { return now_; }
   // Reads the clock anew, for decisions that bind others.
-  Time refresh();
+  Time update_time();
   // When this process last stood still (frozen, or without its processor) for a second or more, and how long.
   struct Stall {
     Time ended{};
@@ -100,17 +100,17 @@
     std::coroutine_handle<> handle;
     IoWait* io = nullptr;
   };
-  TimerKey arm(Time at, Timer t);
-  void fire(IoWait*& slot, bool ready);
+  TimerKey add_timer(Time at, Timer t);
+  void wake(IoWait*& slot, bool ready);
   void run_timers();
   void run_ready();
-  bool pass(int timeout_ms);
+  bool poll_events(int timeout_ms);
   void dispatch(const epoll_event& e);
 
   Clock clock_;
   int epoll_ = -1;
   Time now_{};
-  Duration expected_{0};  // the wait that is under way
+  Duration expected_wait_{0};  // the wait that is under way
   Stall stall_;
   std::function<void(const Stall&)> on_stall_;
   std::uint64_t next_id_ = 0;
@@ -131,7 +131,7 @@
   struct Wait {
     Event& event;
     Time deadline;
-    std::list<Wait*>::iterator place{};
+    std::list<Wait*>::iterator position{};
     Loop::TimerKey key{};
     bool notified = false;
     std::coroutine_handle<> handle{};
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -26,12 +26,12 @@
 
 int open_socket() { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 
-void no_delay(int fd) {
+void disable_nagle(int fd) {
   const int one = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
 }
 
-bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK; }
+bool is_would_block_error() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
 int open_listener(const Endpoint& at) {
   const auto a = address_of(at);
@@ -77,10 +77,10 @@
   fd_ = -1;
 }
 
-bool Socket::abandoned() const {
+bool Socket::peer_closed() const {
   char c = 0;
   const auto n = ::recv(fd_, &c, 1, MSG_PEEK | MSG_DONTWAIT);
-  return n == 0 || (n < 0 && !would_block() && errno != EINTR);
+  return n == 0 || (n < 0 && !is_would_block_error() && errno != EINTR);
 }
 
 Task<long> Socket::read_some(char* to, std::size_t size, Time deadline) {
@@ -88,7 +88,7 @@
     const auto n = ::recv(fd_, to, size, 0);
     if (n >= 0) co_return n;
     if (errno == EINTR) continue;
-    if (!would_block()) co_return -1;
+    if (!is_would_block_error()) co_return -1;
     const bool ready = co_await loop_->wait_io(fd_, Loop::Direction::read, deadline);
     if (!ready) co_return -1;
   }
@@ -102,7 +102,7 @@
       continue;
     }
     if (n < 0 && errno == EINTR) continue;
-    if (n < 0 && !would_block()) co_return false;
+    if (n < 0 && !is_would_block_error()) co_return false;
     const bool ready = co_await loop_->wait_io(fd_, Loop::Direction::write, deadline);
     if (!ready) co_return false;
   }
@@ -114,7 +114,7 @@
   const int fd = a ? open_socket() : -1;
   if (fd < 0) co_return std::nullopt;
   Socket s{loop, fd};
-  no_delay(fd);
+  disable_nagle(fd);
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the socket API's own way
   const int rc = ::connect(fd, reinterpret_cast<const sockaddr*>(&*a), sizeof *a);
   if (rc != 0 && errno != EINPROGRESS) co_return std::nullopt;
@@ -142,11 +142,11 @@
   for (;;) {
     const int fd = ::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      no_delay(fd);
+      disable_nagle(fd);
       co_return std::optional<Socket>{Socket{loop_, fd}};
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
-    if (!would_block()) {
+    if (!is_would_block_error()) {
       // Out of descriptors: wait for some to be freed instead of spinning.
       co_await loop_.sleep(seconds(0.1));
       co_return std::nullopt;
--- a/src/runtime/socket.hpp
+++ b/src/runtime/socket.hpp
@@ -34,7 +34,7 @@
   // May be called again.
   void close();
   // The other side has closed, so that no one waits for an answer any more.
-  [[nodiscard]] bool abandoned() const;
+  [[nodiscard]] bool peer_closed() const;
   // Bytes read; 0 at the other side's end; -1 at an error or the deadline.
   Task<long> read_some(char* to, std::size_t size, Time deadline);
   // False at an error or the deadline; some bytes may have been sent then. `data` must stand until it ends.
--- a/src/service/cancellation_service.cpp
+++ b/src/service/cancellation_service.cpp
@@ -25,7 +25,7 @@
     const auto reply = co_await peers_.call_leader(std::move(request), forward_timeout);
     if (reply && (reply->status == 200 || reply->status == 404)) co_return response_from(*reply);
   }
-  co_return co_await cancel_by_note(job);
+  co_return co_await cancel_by_inbox_entry(job);
 }
 
 rt::Task<rt::HttpResponse> CancellationService::cancel_as_leader(JobId id) {
@@ -38,13 +38,13 @@
   if (!ctx_.has_valid_lease() || !ctx_.scheduler->cancel(id, ctx_.now())) co_return retry_later("no leader");
   ctx_.notify_pending_work();
   ctx_.write_committed.notify();  // stop commands need no commit
-  const auto stored = co_await leader_service_.wait_final(id, result_timeout);
+  const auto stored = co_await leader_service_.wait_for_final_state(id, result_timeout);
   if (!stored) co_return retry_later("not stored yet");
   co_return status_response(200, *stored);
 }
 
 // Where the leader cannot be reached, it is told by way of the store.
-rt::Task<rt::HttpResponse> CancellationService::cancel_by_note(JobId id) {
+rt::Task<rt::HttpResponse> CancellationService::cancel_by_inbox_entry(JobId id) {
   const Time deadline = ctx_.now() + result_timeout;
   const JobRowStore::Read row = co_await job_rows_.read(id);
   JobLookup final_state;
--- a/src/service/cancellation_service.hpp
+++ b/src/service/cancellation_service.hpp
@@ -27,7 +27,7 @@
   rt::Task<rt::HttpResponse> cancel_as_leader(JobId id);
 
  private:
-  rt::Task<rt::HttpResponse> cancel_by_note(JobId id);
+  rt::Task<rt::HttpResponse> cancel_by_inbox_entry(JobId id);
 
   Context& ctx_;
   PeerService& peers_;
--- a/src/service/cleanup_queue.cpp
+++ b/src/service/cleanup_queue.cpp
@@ -20,14 +20,14 @@
   }
 }
 
-std::string CleanupQueue::take_inbox_key() {
+std::string CleanupQueue::pop_inbox_key() {
   if (inbox_entries_.empty()) return {};
   std::string key = wire::inbox_key(inbox_entries_.back());
   inbox_entries_.pop_back();
   return key;
 }
 
-std::string CleanupQueue::take_chunk_key() {
+std::string CleanupQueue::pop_chunk_key() {
   if (chunk_keys_.empty()) return {};
   std::string key = std::move(chunk_keys_.back());
   chunk_keys_.pop_back();
--- a/src/service/cleanup_queue.hpp
+++ b/src/service/cleanup_queue.hpp
@@ -17,9 +17,9 @@
   // Gives back a key that take_... returned and that was not removed.
   void requeue(const std::string& key);
   // Both answer an empty string where there is nothing left.
-  [[nodiscard]] std::string take_inbox_key();
+  [[nodiscard]] std::string pop_inbox_key();
   // A piece of a row of a job that is over.
-  [[nodiscard]] std::string take_chunk_key();
+  [[nodiscard]] std::string pop_chunk_key();
   // Whether there is nothing to remove.
   [[nodiscard]] bool empty() const { return inbox_entries_.empty() && chunk_keys_.empty(); }
   // Forgets all, when a term begins: the next leader finds the inbox entries again.
--- a/src/service/cloud_service.cpp
+++ b/src/service/cloud_service.cpp
@@ -38,9 +38,9 @@
 rt::Task<void> CloudService::wait_for_rate() {
   const bool for_leader =
       forwarded_for_leader_at_ != Time{} && ctx_.now() - forwarded_for_leader_at_ < forwarding_period;
-  rate_.set(ctx_.settings.cloud_rps * (ctx_.scheduler != nullptr || for_leader ? leader_share : follower_share));
+  rate_.set_rate(ctx_.settings.cloud_rps * (ctx_.scheduler != nullptr || for_leader ? leader_share : follower_share));
   for (;;) {
-    const Duration wait = rate_.take(1, 0, ctx_.now());
+    const Duration wait = rate_.try_consume(1, 0, ctx_.now());
     if (wait.count() == 0) break;
     co_await ctx_.loop.sleep(wait);
   }
@@ -54,8 +54,8 @@
   const auto may_send = [this, term] { return term == any_term || (ctx_.leads(term) && ctx_.has_valid_lease()); };
   if (!may_send()) co_return rt::HttpResult{};
   if (ctx_.now() < direct_retry_at_) {
-    rt::HttpResult by_peer = co_await request_through_peer(method, target, body);
-    if (by_peer.outcome == rt::Outcome::answered) co_return by_peer;
+    rt::HttpResult peer_result = co_await request_through_peer(method, target, body);
+    if (peer_result.outcome == rt::Outcome::answered) co_return peer_result;
   }
   std::string direct_target = target;
   std::string direct_body = body;
@@ -64,11 +64,11 @@
                                                  std::move(direct_target), std::move(direct_body), timeout);
   if (result.outcome == rt::Outcome::answered || !may_send()) co_return result;
   // Scale-out requests by their names, and lists of machines to scale in, may be sent twice, by whichever way.
-  rt::HttpResult by_peer = co_await request_through_peer(method, std::move(target), std::move(body));
-  if (by_peer.outcome != rt::Outcome::answered) co_return result;
+  rt::HttpResult peer_result = co_await request_through_peer(method, std::move(target), std::move(body));
+  if (peer_result.outcome != rt::Outcome::answered) co_return result;
   if (ctx_.now() >= direct_retry_at_) ctx_.log->info("cloud unreachable, requests go through other nodes");
   direct_retry_at_ = ctx_.now() + direct_retry_delay;
-  co_return by_peer;
+  co_return peer_result;
 }
 
 rt::Task<rt::HttpResult> CloudService::request_through_peer(const std::string& method, std::string target,
@@ -90,7 +90,7 @@
   std::string target = request.job.substr(space + 1);
   rt::HttpResult result = co_await http_.request(ctx_.settings.cloud, std::move(method), std::move(target),
                                                  std::move(request.body), forwarded_timeout);
-  const int status = result.outcome == rt::Outcome::answered ? result.status : wire::status_no_answer;
+  const int status = result.outcome == rt::Outcome::answered ? result.status : wire::status_no_response;
   co_return wire::PeerReply{status, std::move(result.body), {}};
 }
 
@@ -99,8 +99,8 @@
   auto types = result.ok() ? wire::parse_types(result.body) : std::nullopt;
   if (!types && ctx_.types.empty()) {
     // The cloud may be out just when this node starts: another node has kept what it said.
-    const ReadResult kept = co_await store_.get(wire::types_key, store_timeout);
-    if (kept.outcome == ReadOutcome::found) types = wire::parse_types(kept.item.value.dump());
+    const ReadResult stored = co_await store_.get(wire::types_key, store_timeout);
+    if (stored.outcome == ReadOutcome::found) types = wire::parse_types(stored.item.value.dump());
   }
   if (!types) co_return false;
   ctx_.types = std::move(*types);
@@ -116,28 +116,28 @@
     types_stored_ = true;
     co_return;
   }
-  std::vector<wire::StoreOp> then;
-  then.push_back({wire::types_key, std::move(row), std::nullopt});
-  std::vector<wire::Condition> when{{wire::leader_key, KeyVersion{ctx_.leadership.token().value()}}};
-  const TxnResult written = co_await store_.txn(std::move(when), std::move(then), store_timeout);
+  std::vector<wire::StoreOp> operations;
+  operations.push_back({wire::types_key, std::move(row), std::nullopt});
+  std::vector<wire::Condition> conditions{{wire::leader_key, KeyVersion{ctx_.leadership.token().value()}}};
+  const TxnResult written = co_await store_.txn(std::move(conditions), std::move(operations), store_timeout);
   types_stored_ = written.outcome == TxnOutcome::committed;
 }
 
 rt::Task<void> CloudService::run_types() {
   for (;;) {
-    const bool fresh = co_await fetch_types();
-    if (fresh) ctx_.cycle_due.notify();
-    if (fresh && ctx_.has_valid_lease() && !types_stored_) co_await store_types();
+    const bool types_fetched = co_await fetch_types();
+    if (types_fetched) ctx_.cycle_due.notify();
+    if (types_fetched && ctx_.has_valid_lease() && !types_stored_) co_await store_types();
     const bool leads = ctx_.scheduler != nullptr;
-    co_await ctx_.loop.sleep(fresh ? (leads || types_stored_ ? types_interval : unstored_types_interval)
-                                   : types_retry_delay);
+    co_await ctx_.loop.sleep(types_fetched ? (leads || types_stored_ ? types_interval : unstored_types_interval)
+                                           : types_retry_delay);
   }
 }
 
 rt::Task<void> CloudService::fetch_list(std::uint64_t term) {
-  std::vector<ListedMachine> all;
+  std::vector<ListedMachine> machines;
   std::string after;
-  const Time asked = ctx_.now();
+  const Time requested_at = ctx_.now();
   for (;;) {
     std::string target = "/machines?page=500" + (after.empty() ? std::string{} : "&after=" + after);
     const rt::HttpResult result = co_await request("GET", std::move(target), "", change_timeout, any_term);
@@ -146,10 +146,10 @@
     if (!page) co_return;
     const bool more = page->more && !page->machines.empty();
     if (more) after = page->machines.back().id.value();
-    for (auto& machine : page->machines) all.push_back(std::move(machine));
+    for (auto& machine : page->machines) machines.push_back(std::move(machine));
     if (!more) break;
   }
-  ctx_.scheduler->on_machine_list(all, asked, ctx_.settings.cloud_lag, ctx_.now());
+  ctx_.scheduler->on_machine_list(machines, requested_at, ctx_.settings.cloud_list_lag, ctx_.now());
   ctx_.notify_pending_work();
 }
 
@@ -174,37 +174,39 @@
     const auto term = ctx_.term;
     // Several types and zones at once: one that the cloud is slow to answer must not hold up the others. Detached: each
     // ends after its attempts, or as soon as this leadership does.
-    for (auto& wanted : ctx_.scheduler->take_scale_out_requests()) rt::spawn(scale_out(term, std::move(wanted)));
+    for (auto& scale_request : ctx_.scheduler->take_scale_out_requests())
+      rt::spawn(scale_out(term, std::move(scale_request)));
     if (scale_in_in_flight_) continue;
-    auto machines = ctx_.scheduler->take_scale_in(ctx_.now());
+    auto machines = ctx_.scheduler->scale_in_candidates(ctx_.now());
     if (!machines.empty()) rt::spawn(scale_in(term, std::move(machines)));  // detached: ends after one attempt
   }
 }
 
 // The request is repeated under the same name until the answer is known: a repeat starts no further machines.
-rt::Task<void> CloudService::scale_out(std::uint64_t term, ScaleOutRequest wanted) {
-  const std::string body = wire::encode_scale_out(wanted);
+rt::Task<void> CloudService::scale_out(std::uint64_t term, ScaleOutRequest scale_request) {
+  const std::string body = wire::encode_scale_out(scale_request);
   for (int attempt = 0; attempt < max_scale_out_attempts; ++attempt) {
     std::string copy = body;
     const rt::HttpResult result = co_await request("POST", "/machines", std::move(copy), change_timeout, term);
     if (!ctx_.leads(term)) co_return;
     if (result.ok()) {
       const auto machines = wire::parse_scale_out_response(result.body).value_or(std::vector<MachineId>{});
-      ctx_.log->info("scale-out granted request={} machines={} of={}", wanted.name, machines.size(), wanted.count);
-      ctx_.scheduler->on_scale_out_granted(wanted, machines, ctx_.now());
+      ctx_.log->info("scale-out granted request={} machines={} of={}", scale_request.name, machines.size(),
+                     scale_request.count);
+      ctx_.scheduler->on_scale_out_granted(scale_request, machines, ctx_.now());
       co_return;
     }
     const bool no_capacity = result.status == 503 && result.body.find("no capacity") != std::string::npos;
     if (no_capacity || result.status == 400) {
-      ctx_.log->info("scale-out refused request={} response={}", wanted.name, result.body);
-      ctx_.scheduler->on_scale_out_refused(wanted, ctx_.now());
+      ctx_.log->info("scale-out refused request={} response={}", scale_request.name, result.body);
+      ctx_.scheduler->on_scale_out_refused(scale_request, ctx_.now());
       co_return;
     }
     co_await ctx_.loop.sleep(retry_delay);
     if (!ctx_.leads(term)) co_return;
   }
   // Given up: should it have been executed after all, its machines appear in the list.
-  ctx_.scheduler->on_scale_out_abandoned(wanted);
+  ctx_.scheduler->on_scale_out_abandoned(scale_request);
 }
 
 rt::Task<void> CloudService::scale_in(std::uint64_t term, std::vector<MachineId> machines) {
--- a/src/service/cloud_service.hpp
+++ b/src/service/cloud_service.hpp
@@ -26,7 +26,7 @@
   // Carries out what the leader's scheduler wants of the fleet; runs as long as the node.
   rt::Task<void> run_scaling();
 
-  // Passes a request of another node on, which does not reach the cloud. `status_no_answer` where the cloud does not
+  // Passes a request of another node on, which does not reach the cloud. `status_no_response` where the cloud does not
   // answer this node either.
   rt::Task<wire::PeerReply> on_peer_request(wire::PeerRequest request);
 
@@ -40,7 +40,7 @@
   rt::Task<bool> fetch_types();
   rt::Task<void> store_types();
   rt::Task<void> fetch_list(std::uint64_t term);
-  rt::Task<void> scale_out(std::uint64_t term, ScaleOutRequest wanted);
+  rt::Task<void> scale_out(std::uint64_t term, ScaleOutRequest scale_request);
   rt::Task<void> scale_in(std::uint64_t term, std::vector<MachineId> machines);
 
   Context& ctx_;
--- a/src/service/configuration_changes.cpp
+++ b/src/service/configuration_changes.cpp
@@ -21,13 +21,13 @@
 constexpr std::size_t max_history_bytes = 48 * 1024;
 constexpr std::size_t max_author_bytes = 80;
 
-wire::PeerReply failure(int status, const std::string& why) { return {status, json{{"error", why}}.dump(), {}}; }
+wire::PeerReply failure(int status, const std::string& reason) { return {status, json{{"error", reason}}.dump(), {}}; }
 
 wire::PeerReply applied(ConfigurationVersion version, bool changed) {
   return {200, json{{"version", version.value()}, {"changed", changed}}.dump(), {}};
 }
 
-wire::PeerReply outdated(ConfigurationVersion version) {
+wire::PeerReply version_conflict(ConfigurationVersion version) {
   return {409, json{{"error", "the version is another"}, {"version", version.value()}}.dump(), {}};
 }
 
@@ -36,18 +36,18 @@
 }  // namespace
 
 rt::Task<wire::PeerReply> ConfigurationChanges::on_peer_request(wire::PeerRequest request) {
-  auto asked = wire::decode_configuration_request(request.body);
-  if (!asked) co_return failure(400, "not a request about the configuration");
-  using Ask = wire::ConfigurationRequest::Ask;
-  if (asked->ask == Ask::get) co_return co_await configuration_.tell();
-  if (asked->ask == Ask::history) co_return co_await history();
-  if (asked->ask == Ask::follow) {
+  auto command = wire::decode_configuration_request(request.body);
+  if (!command) co_return failure(400, "not a request about the configuration");
+  using Action = wire::ConfigurationRequest::Action;
+  if (command->action == Action::get) co_return co_await configuration_.report();
+  if (command->action == Action::history) co_return co_await history();
+  if (command->action == Action::follow) {
     const bool follows = co_await configuration_.follow();
     co_return follows ? wire::PeerReply{200, "{}", {}} : failure(503, "the state service does not answer");
   }
-  asked->by = asked->by.substr(0, max_author_bytes);
-  if (asked->dry_run) co_return co_await dry_run(std::move(*asked));
-  co_return co_await apply(std::move(*asked));
+  command->author = command->author.substr(0, max_author_bytes);
+  if (command->dry_run) co_return co_await dry_run(std::move(*command));
+  co_return co_await apply(std::move(*command));
 }
 
 rt::Task<wire::PeerReply> ConfigurationChanges::apply(wire::ConfigurationRequest request) {
@@ -55,8 +55,8 @@
   auto change = std::make_shared<PendingChange>(ctx_.loop, std::move(request));
   queue_.push_back(change);
   change_queued_.notify();
-  const Time until = ctx_.now() + answer_timeout;
-  while (!change->reply && ctx_.now() < until) co_await change->answered.wait(until);
+  const Time deadline = ctx_.now() + answer_timeout;
+  while (!change->reply && ctx_.now() < deadline) co_await change->answered.wait(deadline);
   if (change->reply) co_return *change->reply;
   if (std::erase(queue_, change) > 0) co_return failure(503, "not begun in time");
   co_return outcome_unknown();
@@ -65,8 +65,8 @@
 rt::Task<void> ConfigurationChanges::run() {
   for (;;) {
     if (queue_.empty()) {
-      const Time until = ctx_.now() + seconds(60);
-      co_await change_queued_.wait(until);
+      const Time deadline = ctx_.now() + seconds(60);
+      co_await change_queued_.wait(deadline);
       continue;
     }
     const auto n = static_cast<std::ptrdiff_t>(std::min(queue_.size(), max_batch_size));
@@ -89,12 +89,12 @@
 
 rt::Task<ConfigurationChanges::Snapshot> ConfigurationChanges::read() {
   Snapshot out;
-  const ReadResult r = co_await store_.get(wire::configuration_key, store_timeout);
-  out.known = r.outcome == ReadOutcome::absent;
-  if (r.outcome != ReadOutcome::found) co_return out;
-  auto row = wire::decode_configuration(r.item.value);
+  const ReadResult result = co_await store_.get(wire::configuration_key, store_timeout);
+  out.known = result.outcome == ReadOutcome::absent;
+  if (result.outcome != ReadOutcome::found) co_return out;
+  auto row = wire::decode_configuration(result.item.value);
   out.known = row.has_value();
-  out.key_version = r.item.version;
+  out.key_version = result.item.version;
   if (row) out.row = std::move(*row);
   co_return out;
 }
@@ -107,10 +107,10 @@
     change->version.reset();
     if (change->reply) continue;
     if (change->request.expected && *change->request.expected != row.version) {
-      answer(*change, outdated(row.version));
+      answer(*change, version_conflict(row.version));
       continue;
     }
-    json document = config::patched(row.document, change->request.patch, ctx_.settings);
+    json document = config::apply_patch(row.document, change->request.patch, ctx_.settings);
     if (document == row.document) {
       answer(*change, applied(row.version, false));
       continue;
@@ -164,13 +164,13 @@
   for (const auto& item : stated->items) out.conditions.push_back({item.key, item.version});
   out.conditions.push_back({wire::leader_key, lead.item.version});
   wire::ConfigurationRequest follow;
-  follow.ask = wire::ConfigurationRequest::Ask::follow;
+  follow.action = wire::ConfigurationRequest::Action::follow;
   for (const auto& peer : ctx_.settings.peers) {
-    const bool there = std::ranges::any_of(
+    const bool version_published = std::ranges::any_of(
         stated->items, [&](const wire::StoreItem& i) { return i.key == wire::node_format_version_key(peer.node); });
     wire::PeerRequest request{wire::PeerVerb::configuration, "", wire::encode_configuration_request(follow), {}};
     const auto reply = co_await peers_.call_node(peer.node, std::move(request), store_timeout);
-    if (there && reply && reply->status == 200) continue;
+    if (version_published && reply && reply->status == 200) continue;
     out.refusal = "the first change needs the word of all nodes: " + peer.node + " does not answer, or cannot follow";
     co_return out;
   }
@@ -187,9 +187,9 @@
   wire::ChangesRow changes{transaction.id, {}};
   for (const auto& change : batch) {
     if (change->version)
-      changes.changes.push_back({*change->version, Context::wall_ms(), change->request.by, change->request.patch});
+      changes.changes.push_back({*change->version, Context::wall_ms(), change->request.author, change->request.patch});
   }
-  after.mark = transaction.id;
+  after.transaction_id = transaction.id;
   after.recorded.push_back(after.version);
   if (after.recorded.size() > max_change_rows) {
     transaction.operations.push_back({wire::changes_key(after.recorded.front()), std::nullopt, std::nullopt});
@@ -201,17 +201,17 @@
   return transaction;
 }
 
-rt::Task<ConfigurationChanges::Fate> ConfigurationChanges::read_fate(Transaction transaction) {
-  const Snapshot now = co_await read();
-  if (!now.known) co_return Fate::unreadable;
-  if (now.key_version == transaction.conditions.front().version) co_return Fate::pending;
-  if (now.row.mark == transaction.id) co_return Fate::committed;
+rt::Task<ConfigurationChanges::TransactionState> ConfigurationChanges::read_transaction_state(Transaction transaction) {
+  const Snapshot current = co_await read();
+  if (!current.known) co_return TransactionState::unreadable;
+  if (current.key_version == transaction.conditions.front().version) co_return TransactionState::pending;
+  if (current.row.transaction_id == transaction.id) co_return TransactionState::committed;
   // Another came after it, or before: the row of its changes tells.
-  const ReadResult r = co_await store_.get(wire::changes_key(transaction.version), store_timeout);
-  if (r.outcome == ReadOutcome::failed) co_return Fate::unreadable;
-  const auto changes = r.outcome == ReadOutcome::found ? wire::decode_changes(r.item.value) : std::nullopt;
-  const bool ours = changes.has_value() && changes->mark == transaction.id;
-  co_return ours ? Fate::committed : Fate::lost;
+  const ReadResult result = co_await store_.get(wire::changes_key(transaction.version), store_timeout);
+  if (result.outcome == ReadOutcome::failed) co_return TransactionState::unreadable;
+  const auto changes = result.outcome == ReadOutcome::found ? wire::decode_changes(result.item.value) : std::nullopt;
+  const bool is_own = changes.has_value() && changes->transaction_id == transaction.id;
+  co_return is_own ? TransactionState::committed : TransactionState::not_committed;
 }
 
 // The same transaction again and again until it is known what became of it: its conditions let at most one through.
@@ -221,22 +221,23 @@
   while (ctx_.now() < deadline) {
     auto conditions = transaction.conditions;
     auto operations = transaction.operations;
-    const TxnResult r = co_await store_.txn(std::move(conditions), std::move(operations), store_timeout);
-    if (r.outcome == TxnOutcome::committed) co_return Outcome::committed;
-    if (r.outcome == TxnOutcome::conflict && !uncertain) co_return Outcome::lost;
-    if (r.outcome == TxnOutcome::too_large && !uncertain) co_return Outcome::lost;
-    uncertain = uncertain || r.outcome == TxnOutcome::unknown;
+    const TxnResult result = co_await store_.txn(std::move(conditions), std::move(operations), store_timeout);
+    if (result.outcome == TxnOutcome::committed) co_return Outcome::committed;
+    if (result.outcome == TxnOutcome::conflict && !uncertain) co_return Outcome::not_committed;
+    if (result.outcome == TxnOutcome::too_large && !uncertain) co_return Outcome::not_committed;
+    uncertain = uncertain || result.outcome == TxnOutcome::unknown;
     if (uncertain) {
-      const Fate fate = co_await read_fate(transaction);
-      if (fate == Fate::committed) co_return Outcome::committed;
-      if (fate == Fate::lost) co_return Outcome::lost;
+      const TransactionState state = co_await read_transaction_state(transaction);
+      if (state == TransactionState::committed) co_return Outcome::committed;
+      if (state == TransactionState::not_committed) co_return Outcome::not_committed;
       // Its first condition holds still, others do not: none of its tries can come through any more. Where nothing
       // could be read, the conflict may be with its own first try.
-      if (fate == Fate::pending && r.outcome == TxnOutcome::conflict) co_return Outcome::lost;
+      if (state == TransactionState::pending && result.outcome == TxnOutcome::conflict)
+        co_return Outcome::not_committed;
     }
     co_await ctx_.loop.sleep(retry_pause);
   }
-  co_return uncertain ? Outcome::uncertain : Outcome::lost;
+  co_return uncertain ? Outcome::uncertain : Outcome::not_committed;
 }
 
 rt::Task<void> ConfigurationChanges::commit(Batch batch) {
@@ -249,14 +250,15 @@
     }
     auto after = merge(batch, before.row);
     if (!after) co_return;
-    FirstChangeConditions first;
-    if (before.key_version == KeyVersion{0}) first = co_await first_change_conditions();
-    if (!first.refusal.empty()) {
-      answer_rest(batch, failure(503, first.refusal));
+    FirstChangeConditions first_change;
+    if (before.key_version == KeyVersion{0}) first_change = co_await first_change_conditions();
+    if (!first_change.refusal.empty()) {
+      answer_rest(batch, failure(503, first_change.refusal));
       co_return;
     }
     Transaction transaction = transaction_for(batch, before, std::move(*after));
-    transaction.conditions.insert(transaction.conditions.end(), first.conditions.begin(), first.conditions.end());
+    transaction.conditions.insert(transaction.conditions.end(), first_change.conditions.begin(),
+                                  first_change.conditions.end());
     const Outcome outcome = co_await commit_transaction(std::move(transaction), deadline);
     if (outcome == Outcome::committed) {
       for (auto& change : batch) {
@@ -284,15 +286,15 @@
     if (row) changes.insert(changes.end(), row->changes.begin(), row->changes.end());
   }
   std::ranges::reverse(changes);  // the newest first
-  json list = json::array();
+  json entries = json::array();
   std::size_t bytes = 0;
   for (const auto& c : changes) {
-    json one{{"version", c.version.value()}, {"atMs", c.at_ms}, {"by", c.by}, {"patch", c.patch}};
-    bytes += one.dump().size();
+    json entry{{"version", c.version.value()}, {"atMs", c.at_ms}, {"by", c.author}, {"patch", c.patch}};
+    bytes += entry.dump().size();
     if (bytes > max_history_bytes) break;
-    list.push_back(std::move(one));
+    entries.push_back(std::move(entry));
   }
-  co_return wire::PeerReply{200, json{{"changes", list}}.dump(), {}};
+  co_return wire::PeerReply{200, json{{"changes", entries}}.dump(), {}};
 }
 
 }  // namespace martenwall::service
--- a/src/service/configuration_changes.hpp
+++ b/src/service/configuration_changes.hpp
@@ -51,13 +51,13 @@
     std::vector<wire::Condition> conditions;
     std::string refusal;  // empty: it can be made
   };
-  enum class Outcome { committed, lost, uncertain };
+  enum class Outcome { committed, not_committed, uncertain };
   // What the store shows of a transaction whose answer was lost.
-  enum class Fate {
+  enum class TransactionState {
     committed,
-    lost,        // it was not carried out and never will be
-    pending,     // it was not carried out, and may be yet
-    unreadable,  // no answer that tells
+    not_committed,  // it was not carried out and never will be
+    pending,        // it was not carried out, and may be yet
+    unreadable,     // no answer that tells
   };
 
   rt::Task<wire::PeerReply> apply(wire::ConfigurationRequest request);
@@ -70,7 +70,7 @@
   std::optional<wire::ConfigurationRow> merge(Batch& batch, const wire::ConfigurationRow& before);
   Transaction transaction_for(const Batch& batch, const Snapshot& before, wire::ConfigurationRow after);
   rt::Task<Outcome> commit_transaction(Transaction transaction, Time deadline);
-  rt::Task<Fate> read_fate(Transaction transaction);
+  rt::Task<TransactionState> read_transaction_state(Transaction transaction);
   static void answer(PendingChange& change, wire::PeerReply reply);
   static void answer_rest(Batch& batch, const wire::PeerReply& reply);
 
--- a/src/service/configuration_command.cpp
+++ b/src/service/configuration_command.cpp
@@ -33,13 +33,14 @@
   bool finished = false;
 };
 
-rt::Task<void> ask(rt::Loop& loop, rt::Endpoint to, std::string frame, std::shared_ptr<Exchange> exchange) {
+rt::Task<void> send_request(rt::Loop& loop, rt::Endpoint endpoint, std::string frame,
+                            std::shared_ptr<Exchange> exchange) {
   const Time deadline = loop.now() + answer_timeout;
-  exchange->reply = co_await call_once(loop, std::move(to), std::move(frame), deadline);
+  exchange->reply = co_await call_once(loop, std::move(endpoint), std::move(frame), deadline);
   exchange->finished = true;
 }
 
-void show_change(const json& body, std::ostream& out) {
+void print_change(const json& body, std::ostream& out) {
   out << "version " << body.at("version") << " would change:\n";
   for (const auto& step : json::diff(body.at("before"), body.at("after"))) {
     out << "  " << step.at("op").get<std::string>() << " " << step.at("path").get<std::string>();
@@ -48,12 +49,12 @@
   }
 }
 
-void show(const wire::ConfigurationRequest& request, const json& body, std::ostream& out) {
-  using Ask = wire::ConfigurationRequest::Ask;
-  if (request.ask != Ask::apply || !body.contains("version")) {
+void print(const wire::ConfigurationRequest& request, const json& body, std::ostream& out) {
+  using Action = wire::ConfigurationRequest::Action;
+  if (request.action != Action::apply || !body.contains("version")) {
     out << body.dump(2) << "\n";
   } else if (body.contains("after")) {
-    show_change(body, out);
+    print_change(body, out);
   } else {
     const bool changed = body.value("changed", false);
     out << (changed ? "applied: version " : "nothing to change: version ") << body.at("version") << "\n";
@@ -64,13 +65,13 @@
 
 CommandExit run_command(ConfigurationCommand command, std::ostream& out, std::ostream& err) {
   auto& request = command.request;
-  if (request.ask == wire::ConfigurationRequest::Ask::apply) {
+  if (request.action == wire::ConfigurationRequest::Action::apply) {
     auto patch = read_patch(command.file, err);
     if (!patch) return CommandExit::bad_input;
     request.patch = std::move(*patch);
   }
-  auto to = rt::Endpoint::parse(command.node);
-  if (!to) {
+  auto endpoint = rt::Endpoint::parse(command.node);
+  if (!endpoint) {
     err << "config: '" << command.node << "' is not an IPv4 address and a port\n";
     return CommandExit::bad_input;
   }
@@ -82,7 +83,7 @@
   }
   rt::Loop loop;
   const auto exchange = std::make_shared<Exchange>();
-  rt::spawn(ask(loop, std::move(*to), std::move(bytes), exchange));
+  rt::spawn(send_request(loop, std::move(*endpoint), std::move(bytes), exchange));
   while (!exchange->finished) loop.step();
   const auto& reply = exchange->reply;
   const json body = reply ? wire::parse(reply->body) : json{};
@@ -91,7 +92,7 @@
     return CommandExit::uncertain;
   }
   if (reply->status == 200) {
-    show(request, body, out);
+    print(request, body, out);
     return CommandExit::done;
   }
   err << "config: " << body.value("error", "refused");
--- a/src/service/dependency_checker.cpp
+++ b/src/service/dependency_checker.cpp
@@ -29,7 +29,7 @@
     const auto finished = ctx_.finished_jobs.find(id);
     if (finished && finished->phase == JobPhase::done) continue;
     const bool accepted = finished || (as_leader && ctx_.scheduler->find_job(id) != nullptr);
-    (accepted ? parts.open : parts.unlisted).push_back(id);
+    (accepted ? parts.open : parts.unresolved).push_back(id);
   }
   return parts;
 }
@@ -42,7 +42,7 @@
   result.open_dependencies = std::move(parts.open);
   std::vector<std::string> keys;
   add_keys(keys, spec.id);
-  for (const auto& id : parts.unlisted) add_keys(keys, id);
+  for (const auto& id : parts.unresolved) add_keys(keys, id);
   const KeyComparison compared = co_await find_existing(std::move(keys));
   if (!compared.answered()) {
     count(Source::unanswered);
@@ -54,7 +54,7 @@
     result.outcome = Outcome::already_stored;
     co_return result;
   }
-  for (const auto& id : parts.unlisted) {
+  for (const auto& id : parts.unresolved) {
     auto progress = Progress::open;
     const bool active = is_active(compared, id);
     if (!active) progress = co_await read_progress(id);
@@ -90,20 +90,20 @@
 
 // Which of the keys exist; as many at a time as a transaction may name, which may turn out to be fewer than before.
 rt::Task<KeyComparison> DependencyChecker::find_existing(std::vector<std::string> keys) {
-  KeyComparison all{KeyComparison::Outcome::answered, {}};
+  KeyComparison merged{KeyComparison::Outcome::answered, {}};
   auto next = keys.cbegin();
   while (next != keys.cend()) {
-    const auto left = static_cast<std::size_t>(keys.cend() - next);
-    const auto size = std::min(max_compared_keys(ctx_.limits), left);
+    const auto remaining = static_cast<std::size_t>(keys.cend() - next);
+    const auto size = std::min(max_compared_keys(ctx_.limits), remaining);
     const auto end = next + static_cast<std::ptrdiff_t>(size);
     std::vector<std::string> chunk{next, end};
     KeyComparison compared = co_await store_.find_existing(std::move(chunk), compare_timeout);
     if (compared.outcome == KeyComparison::Outcome::too_many_keys) continue;
     if (!compared.answered()) co_return compared;
-    all.existing.merge(compared.existing);
+    merged.existing.merge(compared.existing);
     next = end;
   }
-  co_return all;
+  co_return merged;
 }
 
 }  // namespace martenwall::service
--- a/src/service/dependency_checker.hpp
+++ b/src/service/dependency_checker.hpp
@@ -38,8 +38,8 @@
  private:
   // Dependencies that are not done, by where they are known from.
   struct Partition {
-    std::vector<JobId> open;      // accepted, by this node's memory
-    std::vector<JobId> unlisted;  // not in this node's memory: the store is asked
+    std::vector<JobId> open;        // accepted, by this node's memory
+    std::vector<JobId> unresolved;  // not in this node's memory: the store is asked
   };
   enum class Progress { done, open, never_accepted, unknown };
 
--- a/src/service/dependency_lookups.cpp
+++ b/src/service/dependency_lookups.cpp
@@ -17,18 +17,18 @@
 rt::Task<void> DependencyLookups::run(std::uint64_t term) {
   while (ctx_.leads(term)) {
     std::vector<JobId> ids = ctx_.scheduler->take_lookups();
-    const auto began = ctx_.now();
-    const auto asked = ids.size();
+    const auto started_at = ctx_.now();
+    const auto requested = ids.size();
     answer_from_cache(ids);
-    if (asked > 0) ctx_.notify_pending_work();
+    if (requested > 0) ctx_.notify_pending_work();
     if (ids.empty()) {
       co_await ctx_.loop.sleep(lookup_interval);
       continue;
     }
-    const auto read = ids.size();
+    const auto from_store = ids.size();
     co_await look_up_all(term, std::move(ids));
-    ctx_.log->info("dependency ends looked up jobs={} from_store={} seconds={}", asked, read,
-                   to_seconds(ctx_.now() - began));
+    ctx_.log->info("dependency ends looked up jobs={} from_store={} seconds={}", requested, from_store,
+                   to_seconds(ctx_.now() - started_at));
   }
 }
 
@@ -36,7 +36,7 @@
 void DependencyLookups::answer_from_cache(std::vector<JobId>& ids) {
   std::erase_if(ids, [&](const JobId& id) {
     const auto finished = ctx_.finished_jobs.find(id);
-    if (finished) ctx_.scheduler->on_end_looked_up(id, finished->phase, ctx_.now());
+    if (finished) ctx_.scheduler->on_dependency_end_found(id, finished->phase, ctx_.now());
     return finished.has_value();
   });
 }
@@ -48,7 +48,7 @@
       if (!ctx_.leads(term)) co_return;
       continue;
     }
-    const auto page = co_await store_.page(wire::final_prefix, wire::just_before_final(ids[next]));
+    const auto page = co_await store_.page(wire::final_prefix, wire::final_key_cursor_before(ids[next]));
     if (!ctx_.leads(term)) co_return;
     if (!page) {
       for (; next < ids.size(); ++next) ctx_.scheduler->retry_lookup(ids[next]);
@@ -64,15 +64,17 @@
 // the index of the first id that it does not tell of.
 std::size_t DependencyLookups::apply_page(std::uint64_t term, const std::vector<JobId>& ids, std::size_t first,
                                           const wire::StorePage& page) {
-  std::map<std::string, const wire::json*> ends;
-  for (const auto& item : page.items) ends.emplace(item.key, &item.value);
-  const auto covers = [&](const std::string& key) { return !page.more || ends.empty() || key <= ends.rbegin()->first; };
+  std::map<std::string, const wire::json*> final_items;
+  for (const auto& item : page.items) final_items.emplace(item.key, &item.value);
+  const auto covers = [&](const std::string& key) {
+    return !page.more || final_items.empty() || key <= final_items.rbegin()->first;
+  };
   std::size_t next = first;
   for (; next < ids.size() && covers(wire::final_key(ids[next])); ++next) {
-    const auto found = ends.find(wire::final_key(ids[next]));
-    const auto end = found == ends.end() ? std::nullopt : wire::decode_final(ids[next], *found->second);
-    if (end) {
-      on_end_found(ids[next], *end);
+    const auto found = final_items.find(wire::final_key(ids[next]));
+    const auto final_job = found == final_items.end() ? std::nullopt : wire::decode_final(ids[next], *found->second);
+    if (final_job) {
+      on_end_found(ids[next], *final_job);
     } else {
       rt::spawn(adopt_unfinished(term, ids[next]));  // ends after one lookup, or with the term
     }
@@ -83,9 +85,9 @@
 rt::Task<void> DependencyLookups::look_up_one(std::uint64_t term, JobId id) {
   const ReadResult read = co_await store_.get(wire::final_key(id), request_timeout);
   if (!ctx_.leads(term)) co_return;
-  const auto end = read.outcome == ReadOutcome::found ? wire::decode_final(id, read.item.value) : std::nullopt;
-  if (end) {
-    on_end_found(id, *end);
+  const auto final_job = read.outcome == ReadOutcome::found ? wire::decode_final(id, read.item.value) : std::nullopt;
+  if (final_job) {
+    on_end_found(id, *final_job);
     ctx_.notify_pending_work();
   } else if (read.outcome == ReadOutcome::absent) {
     rt::spawn(adopt_unfinished(term, id));  // ends after one lookup, or with the term
@@ -95,9 +97,9 @@
   }
 }
 
-void DependencyLookups::on_end_found(const JobId& id, const FinalJob& end) {
-  ctx_.finished_jobs.add({id, end.phase, end.done, 0});
-  ctx_.scheduler->on_end_looked_up(id, end.phase, ctx_.now());
+void DependencyLookups::on_end_found(const JobId& id, const FinalJob& final_job) {
+  ctx_.finished_jobs.add({id, final_job.phase, final_job.done, 0});
+  ctx_.scheduler->on_dependency_end_found(id, final_job.phase, ctx_.now());
 }
 
 // The job is not over: accepted at another node a moment ago, or its end comes between the two looks.
--- a/src/service/dependency_lookups.hpp
+++ b/src/service/dependency_lookups.hpp
@@ -24,7 +24,7 @@
   std::size_t apply_page(std::uint64_t term, const std::vector<JobId>& ids, std::size_t first,
                          const wire::StorePage& page);
   rt::Task<void> adopt_unfinished(std::uint64_t term, JobId id);
-  void on_end_found(const JobId& id, const FinalJob& end);
+  void on_end_found(const JobId& id, const FinalJob& final_job);
   void answer_from_cache(std::vector<JobId>& ids);
 
   Context& ctx_;
--- a/src/service/fenced_transaction.cpp
+++ b/src/service/fenced_transaction.cpp
@@ -43,13 +43,13 @@
   auto& operations = transaction.operations;
   const auto limit = ctx_.limits.txn_ops();
   while (operations.size() < limit) {
-    const auto key = queue.take_inbox_key();
+    const auto key = queue.pop_inbox_key();
     if (key.empty()) break;
-    const bool listed = std::ranges::any_of(operations, [&](const auto& op) { return op.key == key; });
-    if (versions_.contains(key) && !listed) append(transaction, {{key, std::nullopt, std::nullopt}});
+    const bool already_added = std::ranges::any_of(operations, [&](const auto& op) { return op.key == key; });
+    if (versions_.contains(key) && !already_added) append(transaction, {{key, std::nullopt, std::nullopt}});
   }
   while (operations.size() < limit) {
-    auto key = queue.take_chunk_key();
+    auto key = queue.pop_chunk_key();
     if (key.empty()) break;
     operations.push_back({std::move(key), std::nullopt, std::nullopt});
   }
--- a/src/service/fenced_writer.cpp
+++ b/src/service/fenced_writer.cpp
@@ -11,21 +11,21 @@
 constexpr Duration transaction_timeout = seconds(1.5);
 constexpr Duration transaction_retry_pause = seconds(0.1);
 constexpr Duration read_retry_pause = seconds(0.2);
-constexpr Duration too_large_pause = seconds(0.05);  // before rows that were divided are written
-constexpr Duration idle_pause = seconds(0.2);        // between two looks for deferrable writes
+constexpr Duration too_large_pause = seconds(0.05);          // before rows that were divided are written
+constexpr Duration deferrable_poll_interval = seconds(0.2);  // between two looks for deferrable writes
 }  // namespace
 
 // Transactions in flight at the same time touch different rows, so their order does not matter.
 rt::Task<void> FencedWriter::run(std::uint64_t term) {
   while (ctx_.leads(term)) {
     const bool deferrable = in_flight_ <= 1 && store_.has_unused_write_rate();
-    const bool has_room = in_flight_ < max_in_flight;
-    if (has_room) start_transactions(term, deferrable);
-    if (has_room && deferrable && !cleanup_.empty()) start_cleanup(term);
+    const bool has_capacity = in_flight_ < max_in_flight;
+    if (has_capacity) start_transactions(term, deferrable);
+    if (has_capacity && deferrable && !cleanup_.empty()) start_cleanup(term);
     // A transaction may have ended the term already, before its first suspension.
     if (!ctx_.leads(term)) co_return;
     if (in_flight_ < max_in_flight && ctx_.scheduler->has_writes(false, ctx_.now())) continue;
-    const Time until = ctx_.now() + idle_pause;
+    const Time until = ctx_.now() + deferrable_poll_interval;
     co_await ctx_.writes_due.wait(until);
   }
 }
@@ -59,8 +59,8 @@
       apply_row_size_limits(ctx_);
       ctx_.scheduler->requeue_writes(transaction.rows, too_large_pause, ctx_.now());
       break;
-    case CommitOutcome::lost:
-      co_await on_lost(term, std::move(transaction));
+    case CommitOutcome::not_stored:
+      co_await on_not_stored(term, std::move(transaction));
       break;
   }
 }
@@ -78,12 +78,12 @@
   ctx_.notify_pending_work();  // the end of one job lets others start
 }
 
-rt::Task<void> FencedWriter::on_lost(std::uint64_t term, FencedTransaction transaction) {
+rt::Task<void> FencedWriter::on_not_stored(std::uint64_t term, FencedTransaction transaction) {
   if (transaction.rows.empty()) {
     // Inbox entries are others' keys too: one that was written anew meanwhile says nothing of this leadership.
-    const bool ours = co_await still_leads(term);
+    const bool leads = co_await still_leads(term);
     if (ctx_.term != term) co_return;
-    if (ours) {
+    if (leads) {
       for (const auto& op : transaction.operations) cleanup_.requeue(op.key);
       co_return;
     }
@@ -96,7 +96,7 @@
 // called too large is not applied later either, since limits do not rise; but an earlier try may have been.
 rt::Task<FencedWriter::CommitOutcome> FencedWriter::commit(std::uint64_t term, const FencedTransaction& transaction) {
   bool uncertain = false;
-  const Time began = ctx_.now();
+  const Time started_at = ctx_.now();
   while (ctx_.term == term) {
     std::vector<wire::Condition> conditions = transaction.conditions;
     std::vector<wire::StoreOp> operations = transaction.operations;
@@ -107,12 +107,12 @@
       case TxnOutcome::committed:
         if (uncertain) log_uncertain(transaction, "stored");
         record_versions(transaction, answer.revision);
-        ctx_.metrics.store_writes.observe(ctx_.now() - began);
+        ctx_.metrics.store_writes.observe(ctx_.now() - started_at);
         co_return CommitOutcome::stored;
       case TxnOutcome::conflict:
-      case TxnOutcome::no_lease:
+      case TxnOutcome::lease_ended:
       case TxnOutcome::too_large:
-        co_return co_await settle_rejected(term, transaction, answer.outcome, uncertain);
+        co_return co_await resolve_rejection(term, transaction, answer.outcome, uncertain);
       case TxnOutcome::unknown:
         if (!std::exchange(uncertain, true)) log_uncertain(transaction, "no_answer");
         break;
@@ -122,27 +122,27 @@
     co_await ctx_.loop.sleep(transaction_retry_pause);
   }
   if (uncertain) log_uncertain(transaction, "unknown_at_term_end");
-  co_return CommitOutcome::lost;
+  co_return CommitOutcome::not_stored;
 }
 
 // The store has rejected the transaction; where an earlier try got no answer, that one may be the reason.
-rt::Task<FencedWriter::CommitOutcome> FencedWriter::settle_rejected(std::uint64_t term,
-                                                                    const FencedTransaction& transaction,
-                                                                    TxnOutcome answer, bool uncertain) {
+rt::Task<FencedWriter::CommitOutcome> FencedWriter::resolve_rejection(std::uint64_t term,
+                                                                      const FencedTransaction& transaction,
+                                                                      TxnOutcome answer, bool uncertain) {
   if (uncertain) {
     const bool applied = co_await was_applied(term, transaction);
     log_uncertain(transaction, applied ? "stored_by_earlier_try" : "not_stored");
     if (applied) co_return CommitOutcome::stored;
   }
   const bool too_large = answer == TxnOutcome::too_large && ctx_.term == term;
-  co_return too_large ? CommitOutcome::too_large : CommitOutcome::lost;
+  co_return too_large ? CommitOutcome::too_large : CommitOutcome::not_stored;
 }
 
 // Whether a transaction whose answer was lost was applied after all; if so its versions are taken over. That a key is
 // gone proves nothing: a later leader may have removed it, and ended the job in another way.
 rt::Task<bool> FencedWriter::was_applied(std::uint64_t term, const FencedTransaction& transaction) {
-  const bool ours = co_await still_leads(term);
-  if (!ours) co_return false;
+  const bool leads = co_await still_leads(term);
+  if (!leads) co_return false;
   const auto& operations = transaction.operations;
   const auto written = std::ranges::find_if(operations, [](const auto& op) { return op.value.has_value(); });
   const auto& evidence = written == operations.end() ? operations.front() : *written;
--- a/src/service/fenced_writer.hpp
+++ b/src/service/fenced_writer.hpp
@@ -32,16 +32,16 @@
   rt::Task<void> run(std::uint64_t term);
 
  private:
-  enum class CommitOutcome { stored, lost, too_large };
+  enum class CommitOutcome { stored, not_stored, too_large };
 
   void start_transactions(std::uint64_t term, bool deferrable);
   void start_cleanup(std::uint64_t term);
   rt::Task<void> write_transaction(std::uint64_t term, FencedTransaction transaction);
   void on_stored(const std::vector<RowWrite>& rows);
-  rt::Task<void> on_lost(std::uint64_t term, FencedTransaction transaction);
+  rt::Task<void> on_not_stored(std::uint64_t term, FencedTransaction transaction);
   rt::Task<CommitOutcome> commit(std::uint64_t term, const FencedTransaction& transaction);
-  rt::Task<CommitOutcome> settle_rejected(std::uint64_t term, const FencedTransaction& transaction, TxnOutcome answer,
-                                          bool uncertain);
+  rt::Task<CommitOutcome> resolve_rejection(std::uint64_t term, const FencedTransaction& transaction, TxnOutcome answer,
+                                            bool uncertain);
   rt::Task<bool> still_leads(std::uint64_t term);
   rt::Task<bool> was_applied(std::uint64_t term, const FencedTransaction& transaction);
   rt::Task<ReadResult> read_until_answered(std::uint64_t term, std::string key);
--- a/src/service/finished_job_cache.hpp
+++ b/src/service/finished_job_cache.hpp
@@ -13,25 +13,25 @@
 class FinishedJobCache {
  public:
   // `most`: jobs that are kept.
-  explicit FinishedJobCache(std::size_t most = 50'000) : most_(most) {}
+  explicit FinishedJobCache(std::size_t max_jobs = 50'000) : max_jobs_(max_jobs) {}
   // Without effect where the phase is not final or the job is known.
-  void add(const JobStatus& s) {
-    if (!is_final(s.phase) || !by_id_.try_emplace(s.id, s).second) return;
-    order_.push_back(s.id);
-    if (order_.size() <= most_) return;
-    by_id_.erase(order_.front());
-    order_.pop_front();
+  void add(const JobStatus& status) {
+    if (!is_final(status.phase) || !by_id_.try_emplace(status.id, status).second) return;
+    insertion_order_.push_back(status.id);
+    if (insertion_order_.size() <= max_jobs_) return;
+    by_id_.erase(insertion_order_.front());
+    insertion_order_.pop_front();
   }
   // Nothing where the end is not known here.
   [[nodiscard]] std::optional<JobStatus> find(const JobId& id) const {
-    const auto it = by_id_.find(id);
-    return it == by_id_.end() ? std::nullopt : std::optional{it->second};
+    const auto found = by_id_.find(id);
+    return found == by_id_.end() ? std::nullopt : std::optional{found->second};
   }
 
  private:
-  std::size_t most_;
+  std::size_t max_jobs_;
   std::unordered_map<JobId, JobStatus> by_id_;
-  std::deque<JobId> order_;
+  std::deque<JobId> insertion_order_;
 };
 
 }  // namespace martenwall::service
--- a/src/service/format_version_service.hpp
+++ b/src/service/format_version_service.hpp
@@ -13,20 +13,20 @@
 class FormatVersionService {
  public:
   // Both outlive this object.
-  FormatVersionService(Context& ctx, StoreClient& state) : ctx_(ctx), store_(state) {}
+  FormatVersionService(Context& ctx, StoreClient& store) : ctx_(ctx), store_(store) {}
   // States this node's version, then waits for, or as the leader raises, that of all. Ends once it is raised.
   rt::Task<void> run();
   // Reads the level of all; nothing where the store did not answer. A leader does so before it reads any row.
   rt::Task<bool> read();
 
  private:
-  rt::Task<bool> state_own();
-  rt::Task<void> raise();
-  [[nodiscard]] std::set<std::string> nodes() const;
+  rt::Task<bool> publish_node_version();
+  rt::Task<void> raise_format_version();
+  [[nodiscard]] std::set<std::string> node_names() const;
 
   Context& ctx_;
   StoreClient& store_;
-  std::string missing_;  // as last logged
+  std::string last_logged_nodes_;  // as last logged
 };
 
 // The sizes of the leader's rows, as the limits stand now.
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -24,23 +24,23 @@
       load_(std::move(load)),
       link_changed_(ctx.loop) {}
 
-wire::NodeRoom HeartbeatRelay::own_load() const {
+wire::NodeCapacity HeartbeatRelay::own_load() const {
   const auto load = load_ ? load_() : relay::NodeLoad{};
-  return {ctx_.settings.node, load.workers, load.room};
+  return {ctx_.settings.node, load.workers, load.capacity};
 }
 
-std::vector<wire::NodeRoom> HeartbeatRelay::known_loads() const {
+std::vector<wire::NodeCapacity> HeartbeatRelay::known_loads() const {
   const auto load = load_ ? load_() : relay::NodeLoad{};
-  std::vector<wire::NodeRoom> out;
-  for (const auto& [node, known] : balancer_.known(load, ctx_.now())) {
-    out.push_back({node, known.workers, known.room});
+  std::vector<wire::NodeCapacity> out;
+  for (const auto& [node, known] : balancer_.recent_loads(load, ctx_.now())) {
+    out.push_back({node, known.workers, known.capacity});
   }
   return out;
 }
 
-void HeartbeatRelay::on_node_load(const wire::NodeRoom& node) {
+void HeartbeatRelay::on_node_load(const wire::NodeCapacity& node) {
   if (node.node.empty()) return;
-  balancer_.on_node_load(node.node, {static_cast<std::size_t>(node.workers), static_cast<std::size_t>(node.room)},
+  balancer_.on_node_load(node.node, {static_cast<std::size_t>(node.workers), static_cast<std::size_t>(node.capacity)},
                          ctx_.now());
 }
 
@@ -49,7 +49,7 @@
 rt::Task<rt::HttpResponse> HeartbeatRelay::on_heartbeat(std::string body) {
   auto heartbeat = wire::parse_heartbeat(body);
   if (!heartbeat) co_return rt::HttpResponse{400, "{}", {}, false};
-  const Time received = ctx_.loop.refresh();
+  const Time received = ctx_.loop.update_time();
   ctx_.reachability.on_heartbeat(received);
   bool close = false;
   if (ctx_.policy.relay_heartbeats && load_) {
@@ -124,7 +124,7 @@
   co_await ctx_.loop.sleep(batching_delay);
   sending_scheduled_ = false;
   while (!queue_.empty() && batches_in_flight_ < max_batches_in_flight) {
-    Batch batch = take_batch();
+    Batch batch = dequeue_batch();
     if (batch.empty()) continue;
     ++batches_in_flight_;
     rt::spawn(send(std::move(batch)));  // detached: owns its batch, ends at the batch's timeout
@@ -132,7 +132,7 @@
 }
 
 // In the order of arrival: the heartbeat that waited longest is nearest to the end of its worker's lease.
-HeartbeatRelay::Batch HeartbeatRelay::take_batch() {
+HeartbeatRelay::Batch HeartbeatRelay::dequeue_batch() {
   Batch batch;
   std::size_t bytes = 0;
   while (!queue_.empty() && batch.size() < wire::max_batch_heartbeats) {
@@ -159,7 +159,7 @@
   load_sent_at_ = ctx_.now();
   const auto reply = co_await peers_.call_node(leader, std::move(request), batch_timeout);
   --batches_in_flight_;
-  const bool answered = take_answers(batch, reply);
+  const bool answered = assign_answers(batch, reply);
   // The silence of a node that does not lead any more says nothing of the link to the new leader.
   if (leader == link_.leader()) {
     link_.on_batch_result(answered, ctx_.now());
@@ -173,7 +173,7 @@
   if (!queue_.empty()) schedule_sending();
 }
 
-bool HeartbeatRelay::take_answers(const Batch& batch, const std::optional<wire::PeerReply>& reply) {
+bool HeartbeatRelay::assign_answers(const Batch& batch, const std::optional<wire::PeerReply>& reply) {
   if (!reply || reply->status != 200) return false;
   auto responses = wire::decode_responses(reply->body);
   if (!responses || responses->responses.size() != batch.size()) return false;
@@ -199,7 +199,7 @@
   std::size_t bytes = 0;
   for (const auto& heartbeat : batch->heartbeats) {
     HeartbeatResponse answer{HeartbeatResponse::Kind::deferred, {}};
-    if (bytes < wire::max_answer_bytes) answer = workers_.answer(heartbeat);
+    if (bytes < wire::max_batch_response_bytes) answer = workers_.answer(heartbeat);
     bytes += wire::encoded_size(answer);
     out.responses.push_back(std::move(answer));
   }
--- a/src/service/heartbeat_relay.hpp
+++ b/src/service/heartbeat_relay.hpp
@@ -55,14 +55,14 @@
   void schedule_sending();
   rt::Task<void> send_queue();
   rt::Task<void> send(Batch batch);
-  Batch take_batch();
-  bool take_answers(const Batch& batch, const std::optional<wire::PeerReply>& reply);
+  Batch dequeue_batch();
+  bool assign_answers(const Batch& batch, const std::optional<wire::PeerReply>& reply);
   rt::Task<void> probe();
-  void on_node_load(const wire::NodeRoom& node);
+  void on_node_load(const wire::NodeCapacity& node);
   void refresh_leader();
   void publish_link_state();
-  [[nodiscard]] wire::NodeRoom own_load() const;
-  [[nodiscard]] std::vector<wire::NodeRoom> known_loads() const;
+  [[nodiscard]] wire::NodeCapacity own_load() const;
+  [[nodiscard]] std::vector<wire::NodeCapacity> known_loads() const;
 
   Context& ctx_;
   PeerService& peers_;
--- a/src/service/inbox_writer.cpp
+++ b/src/service/inbox_writer.cpp
@@ -5,7 +5,7 @@
 namespace {
 constexpr Duration announcement_interval = seconds(20);  // per job; each note is a change of the store
 constexpr std::size_t max_announced = 200;               // jobs per interval, for the same reason
-constexpr Duration note_timeout = seconds(1.5);
+constexpr Duration entry_timeout = seconds(1.5);
 constexpr Duration cancellation_timeout = seconds(1);  // within the 3 s that a cancellation waits for its result
 }  // namespace
 
@@ -14,20 +14,20 @@
 void InboxWriter::announce_job(const JobId& id) {
   std::erase_if(announced_at_, [&](const auto& entry) { return ctx_.now() - entry.second > announcement_interval; });
   if (announced_at_.size() >= max_announced || !announced_at_.emplace(id, ctx_.now()).second) return;
-  rt::spawn(write_note(id));  // detached: ends by itself at the transaction's timeout
+  rt::spawn(write_entry(id));  // detached: ends by itself at the transaction's timeout
 }
 
-rt::Task<void> InboxWriter::write_note(JobId id) {
-  std::vector<wire::StoreOp> then;
-  then.push_back({wire::inbox_key(id), wire::encode_note(ctx_.settings.node, false), std::nullopt});
-  std::vector<wire::Condition> when{{wire::inbox_key(id), KeyVersion{0}}};
-  co_await store_.txn(std::move(when), std::move(then), note_timeout);
+rt::Task<void> InboxWriter::write_entry(JobId id) {
+  std::vector<wire::StoreOp> operations;
+  operations.push_back({wire::inbox_key(id), wire::encode_inbox_entry(ctx_.settings.node, false), std::nullopt});
+  std::vector<wire::Condition> conditions{{wire::inbox_key(id), KeyVersion{0}}};
+  co_await store_.txn(std::move(conditions), std::move(operations), entry_timeout);
 }
 
 rt::Task<bool> InboxWriter::request_cancellation(JobId id) {
-  std::vector<wire::StoreOp> then;
-  then.push_back({wire::inbox_key(id), wire::encode_note(ctx_.settings.node, true), std::nullopt});
-  const TxnResult written = co_await store_.txn({}, std::move(then), cancellation_timeout);
+  std::vector<wire::StoreOp> operations;
+  operations.push_back({wire::inbox_key(id), wire::encode_inbox_entry(ctx_.settings.node, true), std::nullopt});
+  const TxnResult written = co_await store_.txn({}, std::move(operations), cancellation_timeout);
   co_return written.outcome == TxnOutcome::committed;
 }
 
--- a/src/service/inbox_writer.hpp
+++ b/src/service/inbox_writer.hpp
@@ -19,7 +19,7 @@
   void announce_job(const JobId& id);
 
   // The same note, now. It never replaces a note that asks for more; whether it was stored is not reported.
-  rt::Task<void> write_note(JobId id);
+  rt::Task<void> write_entry(JobId id);
 
   // Asks the leader to cancel the job. False where the store did not take the note, or did not say so.
   rt::Task<bool> request_cancellation(JobId id);
--- a/src/service/job_reader.cpp
+++ b/src/service/job_reader.cpp
@@ -23,14 +23,14 @@
 
 rt::Task<JobLookup> JobReader::read_status(JobId id) {
   const auto term = ctx_.term;
-  const Time began = ctx_.loop.refresh();
+  const Time began = ctx_.loop.update_time();
   // In this order: a job moves from one of its first keys to the last and never back.
   JobRowStore::Read active = co_await job_rows_.read(id);
   if (active.outcome == ReadOutcome::failed) co_return JobLookup{};
   // What was read under an earlier leadership, or before the job's end, may be out of date by now.
   if (const auto known = from_memory(id)) co_return *known;
   if (active.outcome == ReadOutcome::absent) co_return co_await read_final(id);
-  if (ctx_.term != term || ctx_.loop.refresh() - began > lookup_timeout) co_return JobLookup{};
+  if (ctx_.term != term || ctx_.loop.update_time() - began > lookup_timeout) co_return JobLookup{};
   if (!active.job) co_return JobLookup{};
   // Written by this leader while it was busy, or by another node: either way it is to run.
   Job job = *active.job;
@@ -45,16 +45,16 @@
 rt::Task<JobLookup> JobReader::confirm_active(Job job, std::uint64_t term, Time began) {
   const JobId id = job.spec.id;
   if (job.dependent) {
-    const bool active = co_await may_call_active(std::move(job));
+    const bool active = co_await may_report_active(std::move(job));
     if (const auto known = from_memory(id)) co_return *known;
-    if (!active || ctx_.term != term || ctx_.loop.refresh() - began > lookup_timeout) co_return JobLookup{};
+    if (!active || ctx_.term != term || ctx_.loop.update_time() - began > lookup_timeout) co_return JobLookup{};
   }
   co_return JobLookup{Existence::exists, {id, JobPhase::pending, 0, 0}};
 }
 
 // False unless reads of the store show that nothing the job needs is cancelled. Without the leader's word this is not
 // known: a cancellation takes all jobs with it that need the cancelled one, and may not have reached this one yet.
-rt::Task<bool> JobReader::may_call_active(Job job) {
+rt::Task<bool> JobReader::may_report_active(Job job) {
   const ReadResult released = co_await store_.get(wire::tasks_key(job.spec.id, 0), release_read_timeout);
   if (released.outcome != ReadOutcome::absent) co_return released.outcome == ReadOutcome::found;
   std::vector<JobId> unchecked = job.spec.dependencies;
@@ -69,8 +69,8 @@
     const JobRowStore::Read row = co_await job_rows_.read_at(id, true);
     if (row.outcome == ReadOutcome::failed || (row.outcome == ReadOutcome::found && !row.job)) co_return false;
     if (row.outcome == ReadOutcome::found) {
-      const auto& further = row.job->spec.dependencies;
-      unchecked.insert(unchecked.end(), further.begin(), further.end());
+      const auto& next_dependencies = row.job->spec.dependencies;
+      unchecked.insert(unchecked.end(), next_dependencies.begin(), next_dependencies.end());
       continue;
     }
     const JobLookup end = co_await read_final(id);
--- a/src/service/job_reader.hpp
+++ b/src/service/job_reader.hpp
@@ -50,7 +50,7 @@
 
  private:
   rt::Task<JobLookup> confirm_active(Job job, std::uint64_t term, Time began);
-  rt::Task<bool> may_call_active(Job job);
+  rt::Task<bool> may_report_active(Job job);
 
   Context& ctx_;
   StoreClient& store_;
--- a/src/service/job_row_store.hpp
+++ b/src/service/job_row_store.hpp
@@ -11,7 +11,7 @@
 class JobRowStore {
  public:
   // Both outlive this object.
-  JobRowStore(Context& ctx, StoreClient& state) : ctx_(ctx), store_(state) {}
+  JobRowStore(Context& ctx, StoreClient& store) : ctx_(ctx), store_(store) {}
 
   // What a read found.
   struct Read {
@@ -27,7 +27,7 @@
   rt::Task<std::optional<Job>> decode(JobId id, wire::json row);
   // Stores a job that neither is there nor was: with a note for the leader where `note` has a node's name.
   // The row itself comes last: until it stands the job is not accepted, whatever pieces of it there are.
-  rt::Task<TxnResult> store_new(Job& job, std::string note);
+  rt::Task<TxnResult> store_new_job(Job& job, std::string announcing_node);
 
  private:
   rt::Task<bool> store_chunks(Job& job, wire::json& row);
--- a/src/service/leader_election.cpp
+++ b/src/service/leader_election.cpp
@@ -51,7 +51,7 @@
   // The last leader's own grace counts, not this node's: the settings may have changed since.
   const Duration previous_grace =
       has_record ? wire::decode_leadership_record(record.item.value).value_or(ctx_.leadership.grace()) : Duration{0};
-  const Time sent = ctx_.loop.refresh();
+  const Time sent = ctx_.loop.update_time();
   const auto lease = co_await store_.create_lease(ctx_.policy.lease_ttl);
   if (!lease) co_return std::nullopt;
   const std::string nonce = std::to_string(ctx_.random());
@@ -88,18 +88,18 @@
 
 rt::Task<void> LeaderElection::renew_lease(std::uint64_t term) {
   while (ctx_.term == term) {
-    const Time sent = ctx_.loop.refresh();
+    const Time sent = ctx_.loop.update_time();
     const auto renewal = co_await store_.renew_lease(lease_, request_timeout);
     // The term may be over, and `lease_` another one.
     if (ctx_.term != term) co_return;
-    ctx_.lease_checked_at = sent;
+    ctx_.last_renewal_sent_at = sent;
     if (renewal == StoreClient::LeaseRenewal::ended) {
       step_down(StepDownReason::lease_expired);
       co_return;
     }
     const bool renewed = renewal == StoreClient::LeaseRenewal::renewed;
     record_renewal(renewed, sent);
-    const Duration pause = renewed ? ctx_.policy.renew_every : renewal_retry_pause;
+    const Duration pause = renewed ? ctx_.policy.renew_interval : renewal_retry_pause;
     const Duration spent = ctx_.now() - sent;
     co_await ctx_.loop.sleep(std::max(min_renewal_pause, pause - spent));
   }
--- a/src/service/leader_inbox.cpp
+++ b/src/service/leader_inbox.cpp
@@ -44,15 +44,16 @@
 }
 
 rt::Task<void> LeaderInbox::process(std::uint64_t term, wire::StoreItem entry) {
-  ctx_.peers_wrote_at = ctx_.now();
+  ctx_.last_inbox_entry_at = ctx_.now();
   versions_.record(entry.key, entry.version);
-  if (wire::is_reach_key(entry.key)) {
-    const auto stranded = wire::decode_reach(entry.value);
-    if (stranded) ctx_.reachability.on_stranded_report(wire::node_of_reach_key(entry.key), *stranded, ctx_.now());
+  if (wire::is_stranded_workers_key(entry.key)) {
+    const auto stranded = wire::decode_stranded_workers(entry.value);
+    if (stranded)
+      ctx_.reachability.on_stranded_report(wire::node_of_stranded_workers_key(entry.key), *stranded, ctx_.now());
     co_return;
   }
   JobId id = wire::job_of_key(entry.key);
-  const bool cancel = wire::asks_to_cancel(entry.value);
+  const bool cancel = wire::requests_cancellation(entry.value);
   co_await process_job_entry(term, std::move(id), cancel);
 }
 
--- a/src/service/leader_recovery.cpp
+++ b/src/service/leader_recovery.cpp
@@ -13,22 +13,22 @@
 }  // namespace
 
 rt::Task<Result<Revision>> LeaderRecovery::run(std::uint64_t term, Duration previous_grace) {
-  const Time began = ctx_.now();
+  const Time started_at = ctx_.now();
   // First: it tells where rows are, and only the leader raises it.
   const bool version_known = co_await format_versions_.read();
-  if (!version_known || ctx_.term != term) co_return interrupted(term, "the format version");
+  if (!version_known || ctx_.term != term) co_return read_error(term, "the format version");
   // A first configuration is made only while the one leads whom its maker saw leading: none can come from here on
   // without this node's word.
   const bool configured = co_await configuration_.read(true);
-  if (!configured || ctx_.term != term) co_return interrupted(term, "the configuration");
+  if (!configured || ctx_.term != term) co_return read_error(term, "the configuration");
   auto read = co_await read_rows(term);
   if (!read) co_return read.error();
   const Rows rows = std::move(read).value();
   auto log = ctx_.log;
-  auto scheduler = std::make_unique<Scheduler>(scheduler_options(previous_grace, began),
+  auto scheduler = std::make_unique<Scheduler>(scheduler_options(previous_grace, started_at),
                                                [log](const std::string& line) { log->info(line); });
   const bool jobs_loaded = co_await load_jobs(term, *scheduler, rows.jobs);
-  if (!jobs_loaded) co_return interrupted(term, "the jobs");
+  if (!jobs_loaded) co_return read_error(term, "the jobs");
   // No suspension from here on: `term` still leads when the scheduler is installed.
   for (const auto& item : rows.machines) {
     for (const auto& record : wire::decode_machines(item.key, item.value)) scheduler->load_machine(record, ctx_.now());
@@ -36,39 +36,39 @@
   const auto tasks = decode_task_rows(rows);
   if (!tasks) co_return tasks.error();
   for (const auto& row : *tasks) scheduler->load_tasks(row, ctx_.now());
-  install(std::move(scheduler), take_inbox(rows.inbox));
+  install(std::move(scheduler), process_inbox(rows.inbox));
   ctx_.log->info("recovery finished jobs={} machines={} seconds={} format_version={} v1_rows={}", rows.jobs.size(),
-                 rows.machines.size(), to_seconds(ctx_.now() - began), ctx_.format_version,
+                 rows.machines.size(), to_seconds(ctx_.now() - started_at), ctx_.format_version,
                  ctx_.format_version >= wire::current_format_version ? ctx_.scheduler->v1_row_count() : 0);
   co_return rows.inbox_revision;
 }
 
-Error LeaderRecovery::interrupted(std::uint64_t term, const char* what) const {
+Error LeaderRecovery::read_error(std::uint64_t term, const char* resource) const {
   if (ctx_.term != term) return {ErrorCode::failed_precondition, "the term ended during recovery"};
-  return {ErrorCode::unavailable, std::string(what) + " could not be read"};
+  return {ErrorCode::unavailable, std::string(resource) + " could not be read"};
 }
 
 rt::Task<Result<LeaderRecovery::Rows>> LeaderRecovery::read_rows(std::uint64_t term) {
-  struct Part {
+  struct RowSource {
     const char* prefix;
-    std::vector<wire::StoreItem> Rows::*into;
+    std::vector<wire::StoreItem> Rows::*destination;
   };
-  const bool ranges = ctx_.format_version >= wire::current_format_version;
-  std::vector<Part> parts{{wire::job_prefix, &Rows::jobs}};
+  const bool has_range_rows = ctx_.format_version >= wire::current_format_version;
+  std::vector<RowSource> sources{{wire::job_prefix, &Rows::jobs}};
   // Below that version there are none, and every request of a failover counts.
-  if (ranges) parts.push_back({wire::dependent_job_prefix, &Rows::jobs});
-  parts.push_back({wire::machines_prefix, &Rows::machines});
-  parts.push_back({wire::v1_tasks_prefix, &Rows::v1_tasks});
-  if (ranges) parts.push_back({wire::tasks_prefix, &Rows::task_ranges});
-  parts.push_back({wire::inbox_prefix, &Rows::inbox});
+  if (has_range_rows) sources.push_back({wire::dependent_job_prefix, &Rows::jobs});
+  sources.push_back({wire::machines_prefix, &Rows::machines});
+  sources.push_back({wire::v1_tasks_prefix, &Rows::v1_tasks});
+  if (has_range_rows) sources.push_back({wire::tasks_prefix, &Rows::task_ranges});
+  sources.push_back({wire::inbox_prefix, &Rows::inbox});
   Rows rows;
-  for (const auto& part : parts) {
-    auto page = co_await store_.list(part.prefix);
-    if (!page || ctx_.term != term) co_return interrupted(term, part.prefix);
+  for (const auto& source : sources) {
+    auto page = co_await store_.list(source.prefix);
+    if (!page || ctx_.term != term) co_return read_error(term, source.prefix);
     rows.inbox_revision = page->revision;  // the inbox is the last part
     for (auto& item : page->items) {
       versions_.record(item.key, item.version);
-      (rows.*part.into).push_back(std::move(item));
+      (rows.*source.destination).push_back(std::move(item));
     }
   }
   co_return std::move(rows);
@@ -77,20 +77,22 @@
 Scheduler::Options LeaderRecovery::scheduler_options(Duration previous_grace, Time acquired) const {
   Scheduler::Options options;
   options.policy = ctx_.policy;
-  options.terms = ctx_.settings.workers;
+  options.timings = ctx_.settings.workers;
   options.teams = ctx_.configuration.teams;
-  options.limits_change = ctx_.configuration.version > ConfigurationVersion{0};
+  options.quota_limits_changed = ctx_.configuration.version > ConfigurationVersion{0};
   for (const auto& objective : ctx_.settings.objectives) {
-    if (objective.kind == "wait") options.aims.by_class[objective.job_class].push_back(objective.within_s);
+    if (objective.kind == "wait")
+      options.objectives.start_s_by_class[objective.job_class].push_back(objective.within_s);
     if (objective.kind == "deadline") {
-      options.aims.deadlines_by_class[objective.job_class].push_back(objective.times);
+      options.objectives.deadline_multiples_by_class[objective.job_class].push_back(objective.deadline_factor);
     }
-    if (objective.kind == "guarantee") options.aims.guarantee_s = objective.within_s;
+    if (objective.kind == "guarantee") options.objectives.guarantee_start_s = objective.within_s;
   }
   options.token = ctx_.leadership.token();
   // The old key is gone, so its holder's last renewal is over; it may have gone on answering
   // workers for its grace from then.
-  options.old_leader_until = previous_grace.count() > 0 ? acquired + previous_grace + ctx_.policy.margin : acquired;
+  options.previous_leader_valid_until =
+      previous_grace.count() > 0 ? acquired + previous_grace + ctx_.policy.lease_margin : acquired;
   options.range_rows = ctx_.format_version >= wire::current_format_version;
   options.v1_row_size = ctx_.v1_row_size;
   options.log_tasks = ctx_.log->should_log(spdlog::level::debug);
@@ -140,13 +142,13 @@
 
 // The jobs that are asked to be cancelled. Every entry is processed by being read here: the jobs' own rows were read
 // before.
-std::vector<JobId> LeaderRecovery::take_inbox(const std::vector<wire::StoreItem>& entries) {
+std::vector<JobId> LeaderRecovery::process_inbox(const std::vector<wire::StoreItem>& entries) {
   std::vector<JobId> cancelled;
   for (const auto& entry : entries) {
-    if (wire::is_reach_key(entry.key)) continue;  // meant for an earlier leader
+    if (wire::is_stranded_workers_key(entry.key)) continue;  // meant for an earlier leader
     const JobId id = wire::job_of_key(entry.key);
     cleanup_.add_inbox_entry(id);
-    if (wire::asks_to_cancel(entry.value)) cancelled.push_back(id);
+    if (wire::requests_cancellation(entry.value)) cancelled.push_back(id);
   }
   return cancelled;
 }
@@ -154,7 +156,7 @@
 void LeaderRecovery::install(std::unique_ptr<Scheduler> scheduler, const std::vector<JobId>& cancelled) {
   ctx_.scheduler = std::move(scheduler);
   // It may have changed while the rows were read.
-  if (ctx_.validity.follows()) ctx_.scheduler->configure(ctx_.configuration.teams, ctx_.policy);
+  if (ctx_.validity.is_following()) ctx_.scheduler->configure(ctx_.configuration.teams, ctx_.policy);
   apply_row_size_limits(ctx_);
   ctx_.scheduler->finish_load(ctx_.now());
   for (const auto& id : cancelled) ctx_.scheduler->cancel(id, ctx_.now());
--- a/src/service/leader_recovery.hpp
+++ b/src/service/leader_recovery.hpp
@@ -39,12 +39,12 @@
     std::vector<wire::StoreItem> jobs, machines, task_ranges, v1_tasks, inbox;
     Revision inbox_revision;
   };
-  [[nodiscard]] Error interrupted(std::uint64_t term, const char* what) const;
+  [[nodiscard]] Error read_error(std::uint64_t term, const char* resource) const;
   rt::Task<Result<Rows>> read_rows(std::uint64_t term);
   [[nodiscard]] Scheduler::Options scheduler_options(Duration previous_grace, Time acquired) const;
   rt::Task<bool> load_jobs(std::uint64_t term, Scheduler& scheduler, const std::vector<wire::StoreItem>& items);
   [[nodiscard]] Result<std::vector<TaskRow>> decode_task_rows(const Rows& rows) const;
-  [[nodiscard]] std::vector<JobId> take_inbox(const std::vector<wire::StoreItem>& entries);
+  [[nodiscard]] std::vector<JobId> process_inbox(const std::vector<wire::StoreItem>& entries);
   void install(std::unique_ptr<Scheduler> scheduler, const std::vector<JobId>& cancelled);
 
   Context& ctx_;
--- a/src/service/leader_service.cpp
+++ b/src/service/leader_service.cpp
@@ -37,7 +37,7 @@
 
 // What is spawned here ends with the term.
 rt::Task<void> LeaderService::serve_term(std::uint64_t term, Duration previous_grace) {
-  forget_last_term();
+  reset_term_state();
   rt::spawn(election_.renew_lease(term));
   const auto inbox_revision = co_await recovery_.run(term, previous_grace);
   if (!inbox_revision) {
@@ -59,7 +59,7 @@
   }
 }
 
-void LeaderService::forget_last_term() {
+void LeaderService::reset_term_state() {
   versions_.clear();
   cleanup_.clear();
   writer_.begin_term();
@@ -69,7 +69,7 @@
   adopter_.adopt(term, std::move(job), version);
 }
 
-rt::Task<std::optional<JobStatus>> LeaderService::wait_final(JobId id, Duration timeout) {
+rt::Task<std::optional<JobStatus>> LeaderService::wait_for_final_state(JobId id, Duration timeout) {
   const auto term = ctx_.term;
   const Time until = ctx_.now() + timeout;
   while (ctx_.leads(term)) {
--- a/src/service/leader_service.hpp
+++ b/src/service/leader_service.hpp
@@ -33,11 +33,11 @@
   void adopt_job(std::uint64_t term, Job job, KeyVersion version);
   // Waits until the job's end is stored, and where it is cancelled the ends of all that depend on it. The end as far as
   // it is known after `timeout`; nothing where the term ended meanwhile.
-  rt::Task<std::optional<JobStatus>> wait_final(JobId id, Duration timeout);
+  rt::Task<std::optional<JobStatus>> wait_for_final_state(JobId id, Duration timeout);
 
  private:
   rt::Task<void> serve_term(std::uint64_t term, Duration previous_grace);
-  void forget_last_term();
+  void reset_term_state();
 
   Context& ctx_;
   KeyVersions versions_;
--- a/src/service/metrics_service.cpp
+++ b/src/service/metrics_service.cpp
@@ -3,29 +3,29 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration line_interval = seconds(60);
+constexpr Duration log_interval = seconds(60);
 constexpr std::size_t max_scrape_connections = 8;
 constexpr std::size_t max_pairs_in_line = 12;  // of class and team: keeps the line readable
 }  // namespace
 
-MetricsService::MetricsService(Context& ctx, StoreClient& state, std::function<Connections()> connections)
-    : ctx_(ctx), store_(state), connections_(std::move(connections)) {
+MetricsService::MetricsService(Context& ctx, StoreClient& store, std::function<Connections()> connections)
+    : ctx_(ctx), store_(store), connections_(std::move(connections)) {
   if (ctx_.policy.metrics_port == 0) return;
-  rt::HttpServer::Bounds bounds;
-  bounds.connections = max_scrape_connections;
+  rt::HttpServer::Limits bounds;
+  bounds.max_connections = max_scrape_connections;
   // On loopback only: whoever lets others scrape it puts that in front.
-  const rt::Endpoint at{"127.0.0.1", static_cast<std::uint16_t>(ctx_.policy.metrics_port)};
-  server_ = std::make_unique<rt::HttpServer>(ctx_.loop, at, std::move(bounds),
+  const rt::Endpoint endpoint{"127.0.0.1", static_cast<std::uint16_t>(ctx_.policy.metrics_port)};
+  server_ = std::make_unique<rt::HttpServer>(ctx_.loop, endpoint, std::move(bounds),
                                              [this](rt::HttpMessage m) { return answer(std::move(m)); });
 }
 
 metrics::Gauges MetricsService::gauges() {
   metrics::Gauges out;
   const auto open = connections_();
-  out.connections = open.all;
+  out.connections = open.total;
   out.worker_connections = open.workers;
-  out.worker_room = open.worker_room;
-  out.state_requests_used = store_.requests_used();
+  out.worker_capacity = open.worker_capacity;
+  out.state_requests_used = store_.request_share_used();
   out.configuration = ctx_.configuration.version.value();
   if (ctx_.scheduler == nullptr) return out;
   out.leads = true;
@@ -51,7 +51,7 @@
 rt::Task<void> MetricsService::run() {
   if (server_) rt::spawn(server_->serve());  // detached: runs as long as the process
   for (;;) {
-    co_await ctx_.loop.sleep(line_interval);
+    co_await ctx_.loop.sleep(log_interval);
     ctx_.log->info("minute: {}", ctx_.metrics.minute_line(gauges()));
     if (ctx_.scheduler != nullptr)
       ctx_.log->info("served: {}", ctx_.scheduler->service_record().minute_line(max_pairs_in_line));
--- a/src/service/metrics_service.hpp
+++ b/src/service/metrics_service.hpp
@@ -14,12 +14,12 @@
  public:
   // Open connections of users and workers, those of workers, and as many of these as there is room for.
   struct Connections {
-    std::size_t all = 0, workers = 0, worker_room = 0;
+    std::size_t total = 0, workers = 0, worker_capacity = 0;
   };
 
   // Listens from here on where the policy sets a port; throws where that cannot be bound. `connections` is called with
   // each exposition and line, not before `run`.
-  MetricsService(Context& ctx, StoreClient& state, std::function<Connections()> connections);
+  MetricsService(Context& ctx, StoreClient& store, std::function<Connections()> connections);
 
   // Serves /metrics and writes the lines; runs as long as the node.
   rt::Task<void> run();
--- a/src/service/node.cpp
+++ b/src/service/node.cpp
@@ -8,20 +8,20 @@
 
 constexpr std::string_view jobs_path = "/api/jobs";
 
-rt::HttpServer::Bounds bounds_of(const config::Settings& s) {
-  rt::HttpServer::Bounds b;
+rt::HttpServer::Limits bounds_of(const config::Settings& s) {
+  rt::HttpServer::Limits b;
   // Leave sockets for the state service, the cloud, workers and the other nodes.
-  const std::size_t kept = std::min<std::size_t>(150 + s.max_connections / 10, s.max_connections / 3);
-  b.connections = s.max_connections - kept;
+  const std::size_t reserved = std::min<std::size_t>(150 + s.max_connections / 10, s.max_connections / 3);
+  b.max_connections = s.max_connections - reserved;
   // A worker that is well speaks again sooner; a silent one's connection is better given to another.
   b.bulk_path = "/agent/";
-  b.bulk_idle = std::max(seconds(15), seconds(s.workers.heartbeat_interval_s * 2.5));
+  b.bulk_idle_timeout = std::max(seconds(15), seconds(s.workers.heartbeat_interval_s * 2.5));
   return b;
 }
 
 // Users keep a sixth of the connections, whatever workers do.
-std::size_t worker_room(const rt::HttpServer::Bounds& b) {
-  return b.connections - std::min(b.connections, std::max<std::size_t>(16, b.connections / 6));
+std::size_t max_worker_connections(const rt::HttpServer::Limits& b) {
+  return b.max_connections - std::min(b.max_connections, std::max<std::size_t>(16, b.max_connections / 6));
 }
 
 // A user gives up after 60 s and must hear of its job before; it asks again as often as it is told.
@@ -32,13 +32,13 @@
   return s.state_write_rps / static_cast<double>(s.peers.size() + 1);
 }
 
-rt::HttpResponse plain(int status) { return {status, "{}", {}, false}; }
+rt::HttpResponse empty_response(int status) { return {status, "{}", {}, false}; }
 
 }  // namespace
 
 Node::Node(rt::Loop& loop, config::Settings settings, Policy policy, std::shared_ptr<spdlog::logger> log)
     : ctx_(loop, std::move(settings), policy, std::move(log)),
-      worker_room_(worker_room(bounds_of(ctx_.settings))),
+      max_worker_connections_(max_worker_connections(bounds_of(ctx_.settings))),
       retry_after_(retries_per_second(ctx_.settings), max_retry_after_s),
       store_(ctx_),
       job_rows_(ctx_, store_),
@@ -50,22 +50,23 @@
       cloud_(ctx_, store_, peers_),
       job_reader_(ctx_, store_, leader_service_, job_rows_),
       inbox_writer_(ctx_, store_),
-      dependencies_(ctx_, store_, job_rows_, job_reader_),
-      submissions_(ctx_, {peers_, leader_service_, job_rows_, job_reader_, dependencies_, inbox_writer_}),
+      dependency_checker_(ctx_, store_, job_rows_, job_reader_),
+      submissions_(ctx_, {peers_, leader_service_, job_rows_, job_reader_, dependency_checker_, inbox_writer_}),
       status_queries_(ctx_, store_, peers_, job_reader_, inbox_writer_),
       cancellations_(ctx_, peers_, leader_service_, job_rows_, job_reader_, inbox_writer_),
       peer_requests_(ctx_, job_reader_, submissions_, cancellations_),
-      health_(ctx_, peers_),
-      changes_(ctx_, store_, peers_, configuration_),
-      reach_(ctx_, store_, leader_service_, peers_),
-      relay_(ctx_, peers_, workers_,
-             [this] {
-               return relay::NodeLoad{server_.bulk(), worker_room_};
-             }),
+      health_check_(ctx_, peers_),
+      configuration_changes_(ctx_, store_, peers_, configuration_),
+      reachability_(ctx_, store_, leader_service_, peers_),
+      heartbeat_relay_(ctx_, peers_, workers_,
+                       [this] {
+                         return relay::NodeLoad{server_.bulk_connections(), max_worker_connections_};
+                       }),
       server_(loop, *rt::Endpoint::parse(ctx_.settings.listen), bounds_of(ctx_.settings),
               [this](rt::HttpMessage m) { return route(std::move(m)); }),
       metrics_(ctx_, store_, [this] {
-        return MetricsService::Connections{server_.open(), server_.bulk(), worker_room_};
+        return MetricsService::Connections{server_.open_connections(), server_.bulk_connections(),
+                                           max_worker_connections_};
       }) {}
 
 void Node::start() {
@@ -75,7 +76,7 @@
   // Detached: they run as long as the process, whose loop never returns; the node owns what they work on.
   rt::spawn(format_versions_.run());
   rt::spawn(configuration_.run());
-  rt::spawn(changes_.run());
+  rt::spawn(configuration_changes_.run());
   rt::spawn(leader_service_.run());
   rt::spawn(workers_.run_cycles());
   rt::spawn(workers_.run_command_sender());
@@ -85,8 +86,8 @@
   rt::spawn(peers_.serve());
   rt::spawn(peers_.run_pings());
   rt::spawn(status_queries_.run());
-  rt::spawn(reach_.run());
-  rt::spawn(relay_.run());
+  rt::spawn(reachability_.run());
+  rt::spawn(heartbeat_relay_.run());
   rt::spawn(metrics_.run());
   rt::spawn(server_.serve());
   ctx_.log->info("node started node={} listen={} grace_s={}", ctx_.settings.node, ctx_.settings.listen,
@@ -101,35 +102,36 @@
 rt::Task<rt::HttpResponse> Node::route(rt::HttpMessage request) {
   rt::HttpResponse response = co_await route_path(std::move(request));
   // After an outage all users who were refused would else come back within the same second.
-  if (response.retry_after_s) response.retry_after_s = retry_after_.next(ctx_.loop.refresh());
+  if (response.retry_after_s) response.retry_after_s = retry_after_.next(ctx_.loop.update_time());
   co_return response;
 }
 
 rt::Task<rt::HttpResponse> Node::route_path(rt::HttpMessage request) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   if (path == "/agent/beat") {
-    if (request.method != "POST") co_return plain(405);
-    co_return co_await relay_.on_heartbeat(std::move(request.body));
+    if (request.method != "POST") co_return empty_response(405);
+    co_return co_await heartbeat_relay_.on_heartbeat(std::move(request.body));
   }
   if (path == "/up") {
-    if (request.method != "GET") co_return plain(405);
-    co_return plain(health_.healthy() ? 200 : 503);
+    if (request.method != "GET") co_return empty_response(405);
+    co_return empty_response(health_check_.healthy() ? 200 : 503);
   }
   if (path == jobs_path) {
-    if (request.method != "POST") co_return plain(405);
+    if (request.method != "POST") co_return empty_response(405);
     co_return co_await submissions_.submit(std::move(request.body));
   }
   if (path.starts_with("/api/jobs/")) {
     std::string rest = path.substr(jobs_path.size() + 1);
     co_return co_await route_job(request.method, std::move(rest));
   }
-  co_return plain(404);
+  co_return empty_response(404);
 }
 
 rt::Task<wire::PeerReply> Node::route_peer(wire::PeerRequest request) {
-  if (request.verb == wire::PeerVerb::stranded) co_return reach_.on_stranded_report(request);
-  if (request.verb == wire::PeerVerb::heartbeats) co_return co_await relay_.on_heartbeats(std::move(request));
-  if (request.verb == wire::PeerVerb::configuration) co_return co_await changes_.on_peer_request(std::move(request));
+  if (request.verb == wire::PeerVerb::stranded) co_return reachability_.on_stranded_report(request);
+  if (request.verb == wire::PeerVerb::heartbeats) co_return co_await heartbeat_relay_.on_heartbeats(std::move(request));
+  if (request.verb == wire::PeerVerb::configuration)
+    co_return co_await configuration_changes_.on_peer_request(std::move(request));
   if (request.verb == wire::PeerVerb::cloud) co_return co_await cloud_.on_peer_request(std::move(request));
   co_return co_await peer_requests_.handle(std::move(request));
 }
@@ -137,11 +139,11 @@
 rt::Task<rt::HttpResponse> Node::route_job(const std::string& method, std::string rest) {
   constexpr std::string_view suffix = "/cancel";
   if (rest.ends_with(suffix)) {
-    if (method != "POST") co_return plain(405);
+    if (method != "POST") co_return empty_response(405);
     rest.resize(rest.size() - suffix.size());
     co_return co_await cancellations_.cancel(std::move(rest));
   }
-  if (method != "GET") co_return plain(405);
+  if (method != "GET") co_return empty_response(405);
   co_return co_await status_queries_.status(std::move(rest));
 }
 
--- a/src/service/node.hpp
+++ b/src/service/node.hpp
@@ -50,8 +50,8 @@
   rt::Task<rt::HttpResponse> route_job(const std::string& method, std::string rest);
 
   Context ctx_;
-  const std::size_t worker_room_;  // connections that workers may hold
-  RetryAfterPacer retry_after_;    // of users that were refused
+  const std::size_t max_worker_connections_;  // connections that workers may hold
+  RetryAfterPacer retry_after_;               // of users that were refused
   StoreClient store_;
   JobRowStore job_rows_;
   FormatVersionService format_versions_;
@@ -62,15 +62,15 @@
   CloudService cloud_;
   JobReader job_reader_;
   InboxWriter inbox_writer_;
-  DependencyChecker dependencies_;
+  DependencyChecker dependency_checker_;
   SubmissionService submissions_;
   StatusQueryService status_queries_;
   CancellationService cancellations_;
   PeerRequestHandler peer_requests_;
-  HealthCheck health_;
-  ConfigurationChanges changes_;
-  ReachabilityService reach_;
-  HeartbeatRelay relay_;
+  HealthCheck health_check_;
+  ConfigurationChanges configuration_changes_;
+  ReachabilityService reachability_;
+  HeartbeatRelay heartbeat_relay_;
   rt::HttpServer server_;
   MetricsService metrics_;
 };
--- a/src/service/peer_link.cpp
+++ b/src/service/peer_link.cpp
@@ -14,14 +14,15 @@
       unread.erase(0, *size + 4);
       co_return std::optional<std::string>{std::move(payload)};
     }
-    const long n = co_await socket.read_some(buffer.data(), buffer.size(), deadline);
-    if (n <= 0) co_return std::nullopt;
-    unread.append(buffer.data(), static_cast<std::size_t>(n));
+    const long bytes_read = co_await socket.read_some(buffer.data(), buffer.size(), deadline);
+    if (bytes_read <= 0) co_return std::nullopt;
+    unread.append(buffer.data(), static_cast<std::size_t>(bytes_read));
   }
 }
 
-rt::Task<std::optional<wire::PeerReply>> call_once(rt::Loop& loop, rt::Endpoint to, std::string frame, Time deadline) {
-  auto socket = co_await rt::Socket::connect(loop, std::move(to), deadline);
+rt::Task<std::optional<wire::PeerReply>> call_once(rt::Loop& loop, rt::Endpoint endpoint, std::string frame,
+                                                   Time deadline) {
+  auto socket = co_await rt::Socket::connect(loop, std::move(endpoint), deadline);
   if (!socket) co_return std::nullopt;
   const bool sent = co_await socket->write_all(frame, deadline);
   if (!sent) co_return std::nullopt;
--- a/src/service/peer_link.hpp
+++ b/src/service/peer_link.hpp
@@ -13,6 +13,7 @@
 
 // One request over a connection of its own; nothing where no reply came by the deadline. The request may have been
 // executed all the same.
-rt::Task<std::optional<wire::PeerReply>> call_once(rt::Loop& loop, rt::Endpoint to, std::string frame, Time deadline);
+rt::Task<std::optional<wire::PeerReply>> call_once(rt::Loop& loop, rt::Endpoint endpoint, std::string frame,
+                                                   Time deadline);
 
 }  // namespace martenwall::service
--- a/src/service/peer_service.cpp
+++ b/src/service/peer_service.cpp
@@ -46,7 +46,7 @@
   --open_connections_;
 }
 
-std::optional<rt::Socket> PeerService::take_idle(const std::string& addr) {
+std::optional<rt::Socket> PeerService::take_idle_connection(const std::string& addr) {
   auto& idle = idle_connections_[addr];
   if (idle.empty()) return std::nullopt;
   std::optional<rt::Socket> socket{std::move(idle.back())};
@@ -71,11 +71,11 @@
 }
 
 rt::Task<std::optional<wire::PeerReply>> PeerService::call(std::string addr, std::string frame, Time deadline) {
-  std::optional<rt::Socket> socket = take_idle(addr);
+  std::optional<rt::Socket> socket = take_idle_connection(addr);
   if (socket) {
     auto reply = co_await exchange(*socket, frame, deadline);
     if (reply) {
-      keep_idle(addr, std::move(*socket));
+      add_idle_connection(addr, std::move(*socket));
       co_return reply;
     }
     // A kept connection may have died meanwhile, and the others with it; every request of this link can be repeated.
@@ -86,11 +86,11 @@
   socket = co_await connect(addr, deadline);
   if (!socket) co_return std::nullopt;
   auto reply = co_await exchange(*socket, frame, deadline);
-  if (reply) keep_idle(addr, std::move(*socket));
+  if (reply) add_idle_connection(addr, std::move(*socket));
   co_return reply;
 }
 
-void PeerService::keep_idle(const std::string& addr, rt::Socket socket) {
+void PeerService::add_idle_connection(const std::string& addr, rt::Socket socket) {
   auto& idle = idle_connections_[addr];
   if (idle.size() < max_idle_connections) idle.push_back(std::move(socket));
 }
@@ -120,7 +120,7 @@
   for (const auto& result : ping_results_) {
     if (ctx_.now() - result.at > ping_validity) continue;
     if (result.reaches_store) return Availability::serving;
-    out = Availability::equally_cut_off;
+    out = Availability::none_reaches_store;
   }
   return out;
 }
@@ -128,13 +128,13 @@
 rt::Task<std::optional<wire::PeerReply>> PeerService::call_any_other(wire::PeerRequest request, Duration timeout) {
   const std::size_t peers = ctx_.settings.peers.size();
   for (std::size_t i = 0; i < peers; ++i) {
-    const std::size_t peer = (last_useful_peer_ + i) % peers;
+    const std::size_t peer = (last_responsive_peer_ + i) % peers;
     std::string addr = ctx_.settings.peers[peer].addr;
     std::string frame = wire::encode_frame(request);
     const Time deadline = ctx_.now() + timeout;
     auto reply = co_await call(std::move(addr), std::move(frame), deadline);
-    if (!reply || reply->status == wire::status_no_answer || reply->status == 421) continue;
-    last_useful_peer_ = peer;
+    if (!reply || reply->status == wire::status_no_response || reply->status == 421) continue;
+    last_responsive_peer_ = peer;
     co_return reply;
   }
   co_return std::nullopt;
--- a/src/service/peer_service.hpp
+++ b/src/service/peer_service.hpp
@@ -44,9 +44,9 @@
 
   // Where others could serve users while this node does not reach the store, by their latest pings.
   enum class Availability {
-    unreachable,      // no other node answers
-    equally_cut_off,  // others answer, and none reaches the store
-    serving,          // another node reaches the store
+    unreachable,         // no other node answers
+    none_reaches_store,  // others answer, and none reaches the store
+    serving,             // another node reaches the store
   };
   // Looks at the pings of the last seconds only.
   [[nodiscard]] Availability availability() const;
@@ -65,14 +65,14 @@
   rt::Task<std::optional<wire::PeerReply>> call(std::string addr, std::string frame, Time deadline);
   rt::Task<std::optional<rt::Socket>> connect(std::string addr, Time deadline);
   rt::Task<std::optional<wire::PeerReply>> exchange(rt::Socket& socket, const std::string& frame, Time deadline);
-  std::optional<rt::Socket> take_idle(const std::string& addr);
-  void keep_idle(const std::string& addr, rt::Socket socket);
+  std::optional<rt::Socket> take_idle_connection(const std::string& addr);
+  void add_idle_connection(const std::string& addr, rt::Socket socket);
 
   Context& ctx_;
   Handler handler_;
   rt::Listener listener_;
   std::size_t open_connections_ = 0;      // of other nodes to this one
-  std::size_t last_useful_peer_ = 0;      // that answered `call_any_other`
+  std::size_t last_responsive_peer_ = 0;  // that answered `call_any_other`
   std::vector<PingResult> ping_results_;  // latest, by peer
   std::string unreachable_leader_;        // the leader that could not be reached lately
   Time leader_retry_at_{};
--- a/src/service/reachability_service.cpp
+++ b/src/service/reachability_service.cpp
@@ -8,10 +8,10 @@
 namespace {
 constexpr Duration check_interval = seconds(0.5);
 constexpr std::array<double, 3> logged_fractions{0.5, 0.9, 0.99};  // not 1: some of the machines are dead at any time
-constexpr Duration failover_watch = seconds(90);                   // later heartbeats say nothing of the failover
+constexpr Duration failover_observation_time = seconds(90);        // later heartbeats say nothing of the failover
 constexpr Duration notify_timeout = seconds(0.5);
-constexpr Duration note_timeout = seconds(1);
-constexpr Duration note_interval = seconds(2);  // each note is a change of the store
+constexpr Duration inbox_write_timeout = seconds(1);
+constexpr Duration inbox_write_interval = seconds(2);  // each note is a change of the store
 }  // namespace
 
 ReachabilityService::ReachabilityService(Context& ctx, StoreClient& store, LeaderService& leader_service,
@@ -41,11 +41,12 @@
 rt::Task<void> ReachabilityService::notify_leader_of_stranded(std::size_t stranded) {
   wire::PeerRequest request{wire::PeerVerb::stranded, ctx_.settings.node, std::to_string(stranded), {}};
   const auto reply = co_await peers_.call_leader(std::move(request), notify_timeout);
-  if (reply || ctx_.now() < next_note_) co_return;
-  next_note_ = ctx_.now() + note_interval;
-  std::vector<wire::StoreOp> then;
-  then.push_back({wire::reach_key(ctx_.settings.node), wire::encode_reach(stranded), std::nullopt});
-  co_await store_.txn({}, std::move(then), note_timeout);
+  if (reply || ctx_.now() < next_inbox_write_) co_return;
+  next_inbox_write_ = ctx_.now() + inbox_write_interval;
+  std::vector<wire::StoreOp> operations;
+  operations.push_back(
+      {wire::stranded_workers_key(ctx_.settings.node), wire::encode_stranded_workers(stranded), std::nullopt});
+  co_await store_.txn({}, std::move(operations), inbox_write_timeout);
 }
 
 wire::PeerReply ReachabilityService::on_stranded_report(const wire::PeerRequest& request) {
@@ -65,7 +66,7 @@
       if (machine.phase() == MachinePhase::up) ++failover_.machines;
     }
   }
-  if (ctx_.now() - failover_.began > failover_watch) return;
+  if (ctx_.now() - failover_.began > failover_observation_time) return;
   while (failover_.machines > 0 && failover_.next_fraction < logged_fractions.size() &&
          static_cast<double>(reporting) >=
              logged_fractions.at(failover_.next_fraction) * static_cast<double>(failover_.machines)) {
@@ -76,7 +77,7 @@
 }
 
 void ReachabilityService::evaluate() {
-  const auto reporting = ctx_.scheduler->heartbeats_since(ctx_.now() - ctx_.reachability.window());
+  const auto reporting = ctx_.scheduler->count_machines_reporting_since(ctx_.now() - ctx_.reachability.window());
   log_failover_progress(reporting);
   const auto before = ctx_.reachability.state();
   const bool step_down = ctx_.reachability.should_step_down(reporting, ctx_.now());
--- a/src/service/reachability_service.hpp
+++ b/src/service/reachability_service.hpp
@@ -29,7 +29,7 @@
   StoreClient& store_;
   LeaderService& leader_service_;
   PeerService& peers_;
-  Time next_note_{};
+  Time next_inbox_write_{};
   bool stranded_logged_ = false;  // one line for as long as workers are stranded here
   // How many of the machines that were up have reported since this node began to lead.
   struct Failover {
--- a/src/service/status_query_service.cpp
+++ b/src/service/status_query_service.cpp
@@ -12,14 +12,14 @@
 namespace {
 constexpr Duration batching_delay = seconds(0.015);  // polls wait so long for others to go with them
 constexpr Duration store_batching_delay =
-    seconds(0.2);                                   // the same without a leader: the store's request rate is scarce
-constexpr Duration leader_timeout = seconds(0.6);   // leaves time of the lookup's 1.5 s for the store
-constexpr Duration compare_timeout = seconds(0.6);  // of the transaction that asks for many jobs' keys
-constexpr Duration stall_tolerance = seconds(0.2);  // a wait that ends later than this was a stall of the process
-constexpr Duration idle_check = seconds(0.5);       // `run` looks at the queue at least so often
+    seconds(0.2);                                       // the same without a leader: the store's request rate is scarce
+constexpr Duration leader_timeout = seconds(0.6);       // leaves time of the lookup's 1.5 s for the store
+constexpr Duration compare_timeout = seconds(0.6);      // of the transaction that asks for many jobs' keys
+constexpr Duration stall_tolerance = seconds(0.2);      // a wait that ends later than this was a stall of the process
+constexpr Duration idle_check_interval = seconds(0.5);  // `run` looks at the queue at least so often
 constexpr std::size_t max_batches_in_flight = 4;
-constexpr std::size_t max_queued = 2000;   // more could not be answered within a user's wait
-constexpr std::size_t keys_per_query = 3;  // active, placed, final
+constexpr std::size_t max_queued_queries = 2000;  // more could not be answered within a user's wait
+constexpr std::size_t keys_per_query = 3;         // active, placed, final
 }  // namespace
 
 StatusQueryService::StatusQueryService(Context& ctx, StoreClient& store, PeerService& peers, JobReader& reader,
@@ -40,18 +40,18 @@
 }
 
 rt::Task<JobLookup> StatusQueryService::query(JobId id) {
-  const auto question = enqueue(id);
-  if (question == nullptr) {
+  const auto pending_query = enqueue(id);
+  if (pending_query == nullptr) {
     count(Source::unanswered);
     co_return JobLookup{};
   }
   const Time deadline = ctx_.now() + lookup_timeout;
-  while (!question->lookup && ctx_.now() < deadline) co_await question->answered.wait(deadline);
+  while (!pending_query->lookup && ctx_.now() < deadline) co_await pending_query->answered.wait(deadline);
   // Meanwhile this node may have come to know the job's end: nothing older may be told then.
   if (const auto known = reader_.from_memory(id)) co_return *known;
   // Nor what was found before this process stood still: the job may have ended, and its user been told, meanwhile.
-  if (ctx_.loop.refresh() > deadline + stall_tolerance) co_return JobLookup{};
-  co_return question->lookup.value_or(JobLookup{});
+  if (ctx_.loop.update_time() > deadline + stall_tolerance) co_return JobLookup{};
+  co_return pending_query->lookup.value_or(JobLookup{});
 }
 
 // One question per job waits to be sent, however many polls ask for it. One that was sent already is not shared: its
@@ -59,12 +59,12 @@
 // wait.
 std::shared_ptr<StatusQueryService::StatusQuery> StatusQueryService::enqueue(const JobId& id) {
   if (const auto queued = queued_by_job_.find(id); queued != queued_by_job_.end()) return queued->second;
-  if (queue_.size() >= max_queued) return nullptr;
-  auto question = std::make_shared<StatusQuery>(ctx_.loop, id);
-  queued_by_job_.emplace(id, question);
-  queue_.push_back(question);
+  if (queue_.size() >= max_queued_queries) return nullptr;
+  auto pending_query = std::make_shared<StatusQuery>(ctx_.loop, id);
+  queued_by_job_.emplace(id, pending_query);
+  queue_.push_back(pending_query);
   queue_changed_.notify();
-  return question;
+  return pending_query;
 }
 
 void StatusQueryService::resolve(StatusQuery& query, JobLookup lookup, Source source) {
@@ -79,17 +79,18 @@
 rt::Task<void> StatusQueryService::run() {
   for (;;) {
     if (queue_.empty() || batches_in_flight_ >= max_batches_in_flight) {
-      const Time deadline = ctx_.now() + idle_check;
+      const Time deadline = ctx_.now() + idle_check_interval;
       co_await queue_changed_.wait(deadline);
       continue;
     }
     co_await ctx_.loop.sleep(peers_.leader_unreachable() ? store_batching_delay : batching_delay);
     ++batches_in_flight_;
-    rt::spawn(answer_batch(take_batch()));  // detached: owns its queries, ends by itself as each of its reads times out
+    rt::spawn(
+        answer_batch(dequeue_batch()));  // detached: owns its queries, ends by itself as each of its reads times out
   }
 }
 
-StatusQueryService::StatusQueries StatusQueryService::take_batch() {
+StatusQueryService::StatusQueries StatusQueryService::dequeue_batch() {
   const auto size = std::min(queue_.size(), wire::max_peer_jobs);
   const auto end = queue_.begin() + static_cast<std::ptrdiff_t>(size);
   StatusQueries batch{queue_.begin(), end};
@@ -141,8 +142,8 @@
 rt::Task<void> StatusQueryService::answer_from_store(StatusQueries batch) {
   auto next = batch.cbegin();
   while (next != batch.cend()) {
-    const auto left = static_cast<std::size_t>(batch.cend() - next);
-    const auto end = next + static_cast<std::ptrdiff_t>(std::min(jobs_per_comparison(), left));
+    const auto remaining = static_cast<std::size_t>(batch.cend() - next);
+    const auto end = next + static_cast<std::ptrdiff_t>(std::min(jobs_per_comparison(), remaining));
     const auto term = ctx_.term;
     StatusQueries chunk{next, end};
     KeyComparison compared = co_await compare(chunk);
@@ -169,12 +170,12 @@
 // Those that the comparison shows to be active are answered at once, before any further wait: it is then the last that
 // was looked at but this node's memory. The rest is read row by row, which takes time.
 rt::Task<void> StatusQueryService::answer_from_comparison(StatusQueries batch, KeyComparison compared) {
-  StatusQueries rest;
+  StatusQueries remaining;
   for (const auto& query : batch) {
     if (query->lookup || resolve_from_memory(*query) || resolve_active(*query, compared)) continue;
-    rest.push_back(query);
+    remaining.push_back(query);
   }
-  for (const auto& query : rest) {
+  for (const auto& query : remaining) {
     if (compared.outcome == KeyComparison::Outcome::unanswered) {
       resolve(*query, {}, Source::unanswered);
     } else {
--- a/src/service/status_query_service.hpp
+++ b/src/service/status_query_service.hpp
@@ -42,7 +42,7 @@
 
   rt::Task<JobLookup> query(JobId id);
   std::shared_ptr<StatusQuery> enqueue(const JobId& id);
-  StatusQueries take_batch();
+  StatusQueries dequeue_batch();
   rt::Task<void> answer_batch(StatusQueries batch);
   rt::Task<StatusQueries> answer_from_leader(StatusQueries batch);
   rt::Task<void> answer_from_store(StatusQueries batch);
--- a/src/service/store_client.cpp
+++ b/src/service/store_client.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t max_response_bytes = 16 * 1024 * 1024;  // a page of the largest rows is below
 constexpr std::size_t max_connections = 24;
 constexpr std::size_t max_idle_connections = 12;
-constexpr std::size_t max_logged_answer = 200;  // bytes of an answer that was not understood
+constexpr std::size_t max_logged_answer_bytes = 200;  // bytes of an answer that was not understood
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
 constexpr int status_not_found = 404;
@@ -26,12 +26,12 @@
 // their users, it leaves them room.
 constexpr double leader_share = 0.86;
 constexpr double sharing_leader_share = 0.62;
-constexpr double follower_share = 0.06;         // the leader takes what users want
-constexpr double lonely_follower_share = 0.18;  // it cannot be reached
-constexpr double leaderless_share = 0.3;        // there is none
-constexpr Duration sharing_time = seconds(10);  // after the last sign that others write
-constexpr double poll_reserve = 0.4;            // of this node's share of requests: polls leave it for submissions
-constexpr double unused_write_fill = 0.3;       // of the bucket: above, deferrable writes may go
+constexpr double follower_share = 0.06;              // the leader takes what users want
+constexpr double isolated_follower_share = 0.18;     // it cannot be reached
+constexpr double leaderless_share = 0.3;             // there is none
+constexpr Duration peer_write_window = seconds(10);  // after the last sign that others write
+constexpr double poll_reserve = 0.4;                 // of this node's share of requests: polls leave it for submissions
+constexpr double unused_write_fill = 0.3;            // of the bucket: above, deferrable writes may go
 
 bool has_status(const rt::HttpResult& answer, int status) {
   return answer.outcome == rt::Outcome::answered && answer.status == status;
@@ -50,26 +50,26 @@
       http_(ctx.loop, max_connections, max_response_bytes, max_idle_connections),
       requests_(ctx.limits.rps() * follower_share),
       writes_(ctx.limits.write_rps() * follower_share),
-      queue_moved_(ctx.loop) {}
+      queue_advanced_(ctx.loop) {}
 
-double StoreClient::share_now() const {
+double StoreClient::current_share() const {
   if (ctx_.scheduler != nullptr) {
-    return ctx_.now() - ctx_.peers_wrote_at < sharing_time ? sharing_leader_share : leader_share;
+    return ctx_.now() - ctx_.last_inbox_entry_at < peer_write_window ? sharing_leader_share : leader_share;
   }
   if (!ctx_.has_other_leader()) return leaderless_share;
-  return ctx_.now() - ctx_.leader_link_failed_at < sharing_time ? lonely_follower_share : follower_share;
+  return ctx_.now() - ctx_.leader_link_failed_at < peer_write_window ? isolated_follower_share : follower_share;
 }
 
 rt::Task<bool> StoreClient::admit(double writes, Duration timeout, double reserve) {
   const Time until = ctx_.now() + timeout;
   for (;;) {
-    const double share = share_now();
-    requests_.set(ctx_.limits.rps() * share);
-    writes_.set(ctx_.limits.write_rps() * share);
-    Duration wait = writes > 0 ? writes_.take(writes, 0, ctx_.now()) : Duration{0};
+    const double share = current_share();
+    requests_.set_rate(ctx_.limits.rps() * share);
+    writes_.set_rate(ctx_.limits.write_rps() * share);
+    Duration wait = writes > 0 ? writes_.try_consume(writes, 0, ctx_.now()) : Duration{0};
     if (wait.count() == 0) {
       writes = 0;
-      wait = requests_.take(1, reserve, ctx_.now());
+      wait = requests_.try_consume(1, reserve, ctx_.now());
     }
     if (wait.count() == 0) co_return true;
     if (ctx_.now() + wait > until) co_return false;
@@ -83,14 +83,14 @@
   const Time until = ctx_.now() + timeout;
   const auto ticket = next_ticket_++;
   queue_.push_back(ticket);
-  while (queue_.front() != ticket && ctx_.now() < until) co_await queue_moved_.wait(until);
+  while (queue_.front() != ticket && ctx_.now() < until) co_await queue_advanced_.wait(until);
   bool admitted = false;
   if (queue_.front() == ticket) {
-    const Duration left = std::max(Duration{0}, until - ctx_.now());
-    admitted = co_await admit(writes, left);
+    const Duration remaining = std::max(Duration{0}, until - ctx_.now());
+    admitted = co_await admit(writes, remaining);
   }
   std::erase(queue_, ticket);
-  queue_moved_.notify();
+  queue_advanced_.notify();
   co_return admitted;
 }
 
@@ -100,7 +100,7 @@
   if (answer.outcome == rt::Outcome::answered && answer.status != status_unavailable) {
     ctx_.store_answered_at = ctx_.now();
   }
-  if (has_status(answer, status_too_many_requests) && ctx_.limits.refused_rate(ctx_.now())) {
+  if (has_status(answer, status_too_many_requests) && ctx_.limits.on_rate_refused(ctx_.now())) {
     ctx_.log->info("store rate limits lowered requests_per_second={} writes_per_second={}", ctx_.limits.rps(),
                    ctx_.limits.write_rps());
   }
@@ -114,7 +114,7 @@
 }
 
 rt::Task<ReadResult> StoreClient::get_unthrottled(std::string key, Duration timeout) {
-  requests_.take(1, 0, ctx_.now());
+  requests_.try_consume(1, 0, ctx_.now());
   co_return co_await read(std::move(key), timeout);
 }
 
@@ -162,7 +162,7 @@
   if (answer.outcome == rt::Outcome::unknown) co_return TxnResult{TxnOutcome::unknown, {}};
   if (has_status(answer, status_conflict)) co_return TxnResult{TxnOutcome::conflict, {}};
   if (has_status(answer, status_bad_request)) {
-    const TxnOutcome outcome = on_malformed(answer.body, operations.size(), size);
+    const TxnOutcome outcome = classify_bad_request(answer.body, operations.size(), size);
     co_return TxnResult{outcome, {}};
   }
   if (!has_status(answer, status_ok)) co_return TxnResult{};
@@ -170,10 +170,10 @@
 }
 
 // The store calls malformed what names a lease that has ended, and what is beyond its limits.
-TxnOutcome StoreClient::on_malformed(const std::string& message, std::size_t operations, std::size_t bytes) {
+TxnOutcome StoreClient::classify_bad_request(const std::string& message, std::size_t operations, std::size_t bytes) {
   ctx_.log->info("transaction refused operations={} bytes={} answer={}", operations, bytes, message);
-  if (message.find("lease") != std::string::npos) return TxnOutcome::no_lease;
-  if (ctx_.limits.refused_size()) {
+  if (message.find("lease") != std::string::npos) return TxnOutcome::lease_ended;
+  if (ctx_.limits.on_size_refused()) {
     ctx_.log->info("store size limits lowered value_bytes={} txn_operations={} writes_per_second={}",
                    ctx_.limits.value_bytes(), ctx_.limits.txn_ops(), ctx_.limits.write_rps());
   }
@@ -183,32 +183,33 @@
 rt::Task<KeyComparison> StoreClient::find_existing(std::vector<std::string> keys, Duration timeout) {
   using Outcome = KeyComparison::Outcome;
   const Time until = ctx_.now() + timeout;
-  const double reserve = ctx_.limits.rps() * share_now() * poll_reserve;
+  const double reserve = ctx_.limits.rps() * current_share() * poll_reserve;
   const bool admitted = co_await admit(0, timeout, reserve);
   if (!admitted) co_return KeyComparison{};
   std::vector<wire::Condition> conditions;
   conditions.reserve(keys.size());
   for (auto& key : keys) conditions.push_back({std::move(key), KeyVersion{0}});
   std::string body = wire::encode_txn(conditions, {});
-  const Duration left = std::max(min_request_timeout, until - ctx_.now());
-  const rt::HttpResult answer = co_await send("POST", wire::transaction_target, std::move(body), left);
+  const Duration remaining = std::max(min_request_timeout, until - ctx_.now());
+  const rt::HttpResult answer = co_await send("POST", wire::transaction_target, std::move(body), remaining);
   if (answer.ok()) co_return KeyComparison{Outcome::answered, {}};
-  if (has_status(answer, status_conflict)) co_return read_conflict(answer.body, conditions);
-  const bool lowered = has_status(answer, status_bad_request) && ctx_.limits.refused_size();
-  co_return KeyComparison{lowered ? Outcome::too_many_keys : Outcome::unanswered, {}};
+  if (has_status(answer, status_conflict)) co_return parse_conflict(answer.body, conditions);
+  const bool limits_lowered = has_status(answer, status_bad_request) && ctx_.limits.on_size_refused();
+  co_return KeyComparison{limits_lowered ? Outcome::too_many_keys : Outcome::unanswered, {}};
 }
 
 // A conflict names the keys that exist. One that names none, or others than were asked for, is no answer to this
 // question: it must not be read as "none exists".
-KeyComparison StoreClient::read_conflict(const std::string& body, const std::vector<wire::Condition>& conditions) {
-  std::set<std::string> asked;
-  for (const auto& condition : conditions) asked.insert(condition.key);
-  const auto failed = wire::parse_failed(body);
-  const bool understood =
-      failed && !failed->empty() && std::ranges::all_of(*failed, [&](const auto& key) { return asked.contains(key); });
+KeyComparison StoreClient::parse_conflict(const std::string& body, const std::vector<wire::Condition>& conditions) {
+  std::set<std::string> queried_keys;
+  for (const auto& condition : conditions) queried_keys.insert(condition.key);
+  const auto failed = wire::parse_failed_keys(body);
+  const bool understood = failed && !failed->empty() &&
+                          std::ranges::all_of(*failed, [&](const auto& key) { return queried_keys.contains(key); });
   if (!understood) {
-    ctx_.log->error("conflict not understood keys={} answer={}", asked.size(), body.substr(0, max_logged_answer));
-    return {KeyComparison::Outcome::not_understood, {}};
+    ctx_.log->error("conflict not understood keys={} answer={}", queried_keys.size(),
+                    body.substr(0, max_logged_answer_bytes));
+    return {KeyComparison::Outcome::unreadable_conflict, {}};
   }
   return {KeyComparison::Outcome::answered, {failed->begin(), failed->end()}};
 }
@@ -222,7 +223,7 @@
 }
 
 rt::Task<StoreClient::LeaseRenewal> StoreClient::renew_lease(LeaseId lease, Duration timeout) {
-  requests_.take(1, 0, ctx_.now());
+  requests_.try_consume(1, 0, ctx_.now());
   const rt::HttpResult answer = co_await send("POST", wire::renew_lease_target(lease), "{}", timeout);
   if (answer.ok()) co_return LeaseRenewal::renewed;
   co_return has_status(answer, status_not_found) ? LeaseRenewal::ended : LeaseRenewal::failed;
--- a/src/service/store_client.hpp
+++ b/src/service/store_client.hpp
@@ -20,10 +20,10 @@
   wire::StoreItem item;  // where it was found
 };
 
-// `conflict`: a condition does not hold. `no_lease`: the lease that an operation names has ended. `too_large`:
+// `conflict`: a condition does not hold. `lease_ended`: the lease that an operation names has ended. `too_large`:
 // malformed to the store, which is what it calls values and transactions beyond its limits. `refused`: not executed,
 // and never will be. `unknown`: no answer; it may have been executed, or may be later.
-enum class TxnOutcome { committed, conflict, no_lease, too_large, refused, unknown };
+enum class TxnOutcome { committed, conflict, lease_ended, too_large, refused, unknown };
 // The revision is there where the outcome is `committed`.
 struct TxnResult {
   TxnOutcome outcome = TxnOutcome::refused;
@@ -33,10 +33,10 @@
 // What a transaction that only compares told of the keys that it names.
 struct KeyComparison {
   enum class Outcome {
-    answered,        // of each key it is known whether it exists
-    not_understood,  // a conflict that does not say at which of the keys: nothing is known of any of them
-    too_many_keys,   // the store takes fewer than it did; fewer may be asked for at once
-    unanswered,      // no answer, or none now
+    answered,             // of each key it is known whether it exists
+    unreadable_conflict,  // a conflict that does not say at which of the keys: nothing is known of any of them
+    too_many_keys,        // the store takes fewer than it did; fewer may be asked for at once
+    unanswered,           // no answer, or none now
   };
   Outcome outcome = Outcome::unanswered;
   std::set<std::string> existing;  // where it was answered
@@ -62,16 +62,16 @@
   // One page of them, after the key `after`; nothing where it could not be read.
   rt::Task<std::optional<wire::StorePage>> page(std::string prefix, std::string after);
   // Users' submissions and the like go first; the leader's rows wait for their turn behind each other.
-  enum class Queueing { first, fifo };
+  enum class Queueing { priority, fifo };
   // A compare-and-swap: all operations, where all conditions hold.
   rt::Task<TxnResult> txn(std::vector<wire::Condition> conditions, std::vector<wire::StoreOp> operations,
-                          Duration timeout, Queueing queueing = Queueing::first);
+                          Duration timeout, Queueing queueing = Queueing::priority);
   // Which of the keys exist, all at one moment: a transaction that only compares.
   rt::Task<KeyComparison> find_existing(std::vector<std::string> keys, Duration timeout);
   // Whether a good part of this node's share of writes is unused at the moment.
   [[nodiscard]] bool has_unused_write_rate();
   // Of this node's share of requests, 0 to 1.
-  [[nodiscard]] double requests_used() { return 1 - requests_.fill_level(ctx_.now()); }
+  [[nodiscard]] double request_share_used() { return 1 - requests_.fill_level(ctx_.now()); }
   // These three do not wait for the share. A lease that is not renewed for `ttl` ends, and its keys with it.
   rt::Task<std::optional<LeaseId>> create_lease(Duration ttl);
   // `ended` is the store's own word.
@@ -92,16 +92,16 @@
 
  private:
   rt::Task<ReadResult> read(std::string key, Duration timeout);
-  static constexpr double renewal_reserve = 4;  // requests kept for lease renewals
+  static constexpr double renewal_reserve_requests = 4;  // requests kept for lease renewals
   // This node's part of the store's rates, 0 to 1.
-  [[nodiscard]] double share_now() const;
+  [[nodiscard]] double current_share() const;
   // Waits for the share. `reserve`: requests that are left for others that may need them more. False where the share is
   // so far overdrawn that the caller should not wait.
-  rt::Task<bool> admit(double writes, Duration timeout, double reserve = renewal_reserve);
+  rt::Task<bool> admit(double writes, Duration timeout, double reserve = renewal_reserve_requests);
   rt::Task<bool> admit_in_order(double writes, Duration timeout);
   rt::Task<rt::HttpResult> send(std::string method, std::string target, std::string body, Duration timeout);
-  KeyComparison read_conflict(const std::string& body, const std::vector<wire::Condition>& conditions);
-  TxnOutcome on_malformed(const std::string& message, std::size_t operations, std::size_t bytes);
+  KeyComparison parse_conflict(const std::string& body, const std::vector<wire::Condition>& conditions);
+  TxnOutcome classify_bad_request(const std::string& message, std::size_t operations, std::size_t bytes);
 
   Context& ctx_;
   rt::HttpClient http_;
@@ -109,7 +109,7 @@
   TokenBucket writes_;
   std::deque<std::uint64_t> queue_;  // tickets of transactions that wait for their turn
   std::uint64_t next_ticket_ = 0;
-  rt::Event queue_moved_;
+  rt::Event queue_advanced_;
 };
 
 }  // namespace martenwall::service
