--- a/src/service/store_limits.cpp
+++ b/src/service/store_limits.cpp
@@ -5,59 +5,61 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t signature = 64;  // who wrote a value, and when: added last
-constexpr std::size_t least_value = 1024;
-constexpr std::size_t least_ops = 4;
-constexpr std::size_t telling_refusals = 3;  // one can come of a burst that several nodes share
+constexpr std::size_t value_overhead_bytes = 64;  // who wrote a value, and when: added last
+constexpr std::size_t min_value_bytes = 1024;
+constexpr std::size_t min_txn_ops = 4;
+constexpr std::size_t min_refusals = 3;  // one can come of a burst that several nodes share
 constexpr Duration refusal_window = seconds(10);
 }  // namespace
 
 StoreLimits::StoreLimits(const config::Settings& s)
-    : sizes_now_{s.state_value_bytes, s.state_txn_ops},
-      sizes_next_(sizes_now_),
-      rates_now_{s.state_rps, s.state_write_rps},
-      rates_next_(rates_now_) {
-  if (!s.state_next) return;
+    : current_sizes_{s.state_value_bytes, s.state_txn_ops},
+      lowered_sizes_(current_sizes_),
+      current_rates_{s.state_rps, s.state_write_rps},
+      lowered_rates_(current_rates_) {
+  if (!s.upcoming_state_limits) return;
   announced_ = true;
-  const auto& n = *s.state_next;
-  sizes_next_ = {std::min(sizes_now_.value_bytes, n.value_bytes.value_or(sizes_now_.value_bytes)),
-                 std::min(sizes_now_.txn_ops, n.txn_ops.value_or(sizes_now_.txn_ops))};
-  rates_next_ = {std::min(rates_now_.rps, n.rps.value_or(rates_now_.rps)),
-                 std::min(rates_now_.write_rps, n.write_rps.value_or(rates_now_.write_rps))};
+  const auto& n = *s.upcoming_state_limits;
+  lowered_sizes_ = {std::min(current_sizes_.value_bytes, n.value_bytes.value_or(current_sizes_.value_bytes)),
+                    std::min(current_sizes_.txn_ops, n.txn_ops.value_or(current_sizes_.txn_ops))};
+  lowered_rates_ = {std::min(current_rates_.rps, n.rps.value_or(current_rates_.rps)),
+                    std::min(current_rates_.write_rps, n.write_rps.value_or(current_rates_.write_rps))};
 }
 
-void StoreLimits::all_nodes_read_any_size() {
-  if (stage_ == Stage::present) enter(Stage::ahead);
+void StoreLimits::use_announced_sizes() {
+  if (stage_ == Stage::current_limits) transition_to(Stage::lowered_sizes);
 }
 
-bool StoreLimits::refused_size() {
-  if (announced_ && stage_ != Stage::lowered) {
-    enter(Stage::lowered);
+bool StoreLimits::on_size_refused() {
+  if (announced_ && stage_ != Stage::lowered_limits) {
+    transition_to(Stage::lowered_limits);
     return true;
   }
   // Not announced, or lower than announced: found out by halves.
-  const Sizes before = sizes_next_;
-  sizes_next_ = {std::max(least_value, before.value_bytes / 2), std::max(least_ops, before.txn_ops / 2)};
-  enter(Stage::lowered);
-  return sizes_next_.value_bytes < before.value_bytes || sizes_next_.txn_ops < before.txn_ops;
+  const Sizes before = lowered_sizes_;
+  lowered_sizes_ = {std::max(min_value_bytes, before.value_bytes / 2), std::max(min_txn_ops, before.txn_ops / 2)};
+  transition_to(Stage::lowered_limits);
+  return lowered_sizes_.value_bytes < before.value_bytes || lowered_sizes_.txn_ops < before.txn_ops;
 }
 
-bool StoreLimits::refused_rate(Time now) {
+bool StoreLimits::on_rate_refused(Time now) {
   refusals_.push_back(now);
   while (now - refusals_.front() > refusal_window) refusals_.pop_front();
-  if (!announced_ || stage_ == Stage::lowered || refusals_.size() < telling_refusals) return false;
-  enter(Stage::lowered);
+  if (!announced_ || stage_ == Stage::lowered_limits || refusals_.size() < min_refusals) return false;
+  transition_to(Stage::lowered_limits);
   return true;
 }
 
 std::size_t StoreLimits::value_bytes() const {
-  const auto bytes = stage_ == Stage::present ? sizes_now_.value_bytes : sizes_next_.value_bytes;
-  return bytes - std::min(bytes / 2, signature);
+  const auto bytes = stage_ == Stage::current_limits ? current_sizes_.value_bytes : lowered_sizes_.value_bytes;
+  return bytes - std::min(bytes / 2, value_overhead_bytes);
 }
-std::size_t StoreLimits::txn_ops() const { return stage_ == Stage::present ? sizes_now_.txn_ops : sizes_next_.txn_ops; }
-double StoreLimits::rps() const { return stage_ == Stage::lowered ? rates_next_.rps : rates_now_.rps; }
+std::size_t StoreLimits::txn_ops() const {
+  return stage_ == Stage::current_limits ? current_sizes_.txn_ops : lowered_sizes_.txn_ops;
+}
+double StoreLimits::rps() const { return stage_ == Stage::lowered_limits ? lowered_rates_.rps : current_rates_.rps; }
 double StoreLimits::write_rps() const {
-  return stage_ == Stage::lowered ? rates_next_.write_rps : rates_now_.write_rps;
+  return stage_ == Stage::lowered_limits ? lowered_rates_.write_rps : current_rates_.write_rps;
 }
 
 }  // namespace martenwall::service
--- a/src/service/store_limits.hpp
+++ b/src/service/store_limits.hpp
@@ -17,18 +17,18 @@
 
   // Which of the limits this node keeps to.
   enum class Stage {
-    present,  // today's limits
-    ahead,    // sizes of the announced ones, today's rates
-    lowered,  // the announced ones hold
+    current_limits,  // today's limits
+    lowered_sizes,   // sizes of the announced ones, today's rates
+    lowered_limits,  // the announced ones hold
   };
   // The stage that was reached.
   [[nodiscard]] Stage stage() const { return stage_; }
   // From now on rows may have any size, so the announced sizes are kept to.
-  void all_nodes_read_any_size();
+  void use_announced_sizes();
   // A transaction was called malformed. True where that taught anything new.
-  bool refused_size();
+  bool on_size_refused();
   // A request was beyond the rate although this node kept to its share.
-  bool refused_rate(Time now);
+  bool on_rate_refused(Time now);
 
   [[nodiscard]] std::size_t value_bytes() const;  // of a value, less what its signature and framing take
   // Operations in one transaction.
@@ -45,11 +45,11 @@
   struct Rates {
     double rps, write_rps;
   };
-  void enter(Stage next) { stage_ = next; }
-  Stage stage_ = Stage::present;
+  void transition_to(Stage next) { stage_ = next; }
+  Stage stage_ = Stage::current_limits;
   bool announced_ = false;
-  Sizes sizes_now_, sizes_next_;
-  Rates rates_now_, rates_next_;
+  Sizes current_sizes_, lowered_sizes_;
+  Rates current_rates_, lowered_rates_;
   std::deque<Time> refusals_;
 };
 
--- a/src/service/submission_service.cpp
+++ b/src/service/submission_service.cpp
@@ -22,25 +22,25 @@
 }
 }  // namespace
 
-SubmissionService::SubmissionService(Context& ctx, const Collaborators& with)
+SubmissionService::SubmissionService(Context& ctx, const Collaborators& collaborators)
     : ctx_(ctx),
-      peers_(with.peers),
-      leader_service_(with.leader_service),
-      job_rows_(with.job_rows),
-      reader_(with.reader),
-      dependencies_(with.dependencies),
-      inbox_(with.inbox) {}
+      peers_(collaborators.peers),
+      leader_service_(collaborators.leader_service),
+      job_rows_(collaborators.job_rows),
+      reader_(collaborators.reader),
+      dependencies_(collaborators.dependencies),
+      inbox_(collaborators.inbox) {}
 
 rt::Task<rt::HttpResponse> SubmissionService::submit(std::string body) {
   auto parsed = wire::parse_job(body);
   if (!parsed) co_return rejection(400, parsed.error().message);
   JobSpec spec = std::move(parsed).value();
   if (const auto finished = ctx_.finished_jobs.find(spec.id)) co_return status_response(200, *finished);
-  if (!ctx_.may_decide()) co_return co_await submit_undecided(std::move(spec), std::move(body));
+  if (!ctx_.may_decide()) co_return co_await submit_without_configuration(std::move(spec), std::move(body));
   if (auto error = find_rejection(spec, ctx_.configuration.teams, ctx_.types)) {
     co_return co_await reject(spec.id, std::move(*error));
   }
-  if (!may_store(spec)) co_return retry_later("not all nodes take jobs that await others yet");
+  if (!format_version_allows(spec)) co_return retry_later("not all nodes take jobs that await others yet");
   if (!ctx_.has_valid_lease() && ctx_.has_other_leader()) {
     wire::PeerRequest request = forwarded(spec, std::move(body));
     const auto reply = co_await peers_.call_leader(std::move(request), forward_timeout);
@@ -51,26 +51,26 @@
 }
 
 // A node of the other version would start a dependent job early.
-bool SubmissionService::may_store(const JobSpec& spec) const {
+bool SubmissionService::format_version_allows(const JobSpec& spec) const {
   return spec.dependencies.empty() || ctx_.format_version >= wire::current_format_version;
 }
 
 // Which limits the job has to fit is not known here now, but to the leader, which checks it by the configuration in
 // force. It need not be known who leads: the others refuse. What would not be taken by the configuration that this node
 // knows is not handed over, since a leader of an earlier version does not check it again.
-rt::Task<rt::HttpResponse> SubmissionService::submit_undecided(JobSpec spec, std::string body) {
+rt::Task<rt::HttpResponse> SubmissionService::submit_without_configuration(JobSpec spec, std::string body) {
   const bool may_fit = !find_rejection(spec, ctx_.configuration.teams, ctx_.types);
-  if (may_fit && may_store(spec) && ctx_.scheduler == nullptr) {
+  if (may_fit && format_version_allows(spec) && ctx_.scheduler == nullptr) {
     wire::PeerRequest request = forwarded(spec, std::move(body));
     const auto reply = co_await peers_.call_any_other(std::move(request), forward_timeout);
     if (reply && is_decision(*reply)) co_return response_from(*reply);
   }
   // A job that was accepted stays so.
-  co_return co_await answer_existing(spec.id, "the configuration in force is not known now");
+  co_return co_await answer_if_stored(spec.id, "the configuration in force is not known now");
 }
 
 rt::Task<rt::HttpResponse> SubmissionService::accept_as_leader(JobSpec spec) {
-  if (!ctx_.may_decide()) co_return co_await answer_existing(spec.id, "the configuration in force is not known now");
+  if (!ctx_.may_decide()) co_return co_await answer_if_stored(spec.id, "the configuration in force is not known now");
   if (auto error = find_rejection(spec, ctx_.configuration.teams, ctx_.types)) {
     co_return co_await reject(spec.id, std::move(*error));
   }
@@ -78,10 +78,10 @@
 }
 
 // The job's state where the store has it; otherwise the user has to ask again, for the given reason.
-rt::Task<rt::HttpResponse> SubmissionService::answer_existing(JobId id, std::string reason_otherwise) {
+rt::Task<rt::HttpResponse> SubmissionService::answer_if_stored(JobId id, std::string retry_reason) {
   const JobLookup lookup = co_await reader_.read_status(id);
   if (lookup.exists()) co_return status_response(200, lookup.status);
-  co_return retry_later(reason_otherwise);
+  co_return retry_later(retry_reason);
 }
 
 // For good only where the store has no such job: one that was accepted under other settings stays accepted.
@@ -107,10 +107,10 @@
   const auto term = ctx_.term;
   DependencyCheck check = co_await dependencies_.check(spec, as_leader);
   if (check.outcome == Outcome::already_stored) {
-    co_return co_await answer_existing(id, "the job's state cannot be read now");
+    co_return co_await answer_if_stored(id, "the job's state cannot be read now");
   }
-  const bool on_itself = std::ranges::find(spec.dependencies, id) != spec.dependencies.end();
-  if (on_itself || check.outcome == Outcome::never_accepted) {
+  const bool depends_on_itself = std::ranges::find(spec.dependencies, id) != spec.dependencies.end();
+  if (depends_on_itself || check.outcome == Outcome::never_accepted) {
     co_return rejection(422, "awaits a job that was never accepted");
   }
   if (check.outcome != Outcome::known) co_return retry_later("the jobs that it awaits cannot be read now");
@@ -132,19 +132,19 @@
   job.spec = std::move(spec);
   job.submitted = ctx_.now();
   job.submitted_wall_ms = Context::wall_ms();
-  std::string note = as_leader ? "" : ctx_.settings.node;
-  const TxnResult stored = co_await job_rows_.store_new(job, std::move(note));
+  std::string inbox_node = as_leader ? "" : ctx_.settings.node;
+  const TxnResult stored = co_await job_rows_.store_new_job(job, std::move(inbox_node));
   if (stored.outcome == TxnOutcome::refused) co_return retry_later("the state service does not answer");
-  if (stored.outcome != TxnOutcome::committed) co_return co_await answer_stored_earlier(id);
+  if (stored.outcome != TxnOutcome::committed) co_return co_await answer_already_stored(id);
   if (as_leader) leader_service_.adopt_job(term, std::move(job), KeyVersion{stored.revision.value()});
   // A leader that lost its leadership meanwhile has written without an inbox note; its successor may have loaded the
   // store before: the job would wait for the next load.
-  if (as_leader && !ctx_.leads(term)) co_await inbox_.write_note(id);
+  if (as_leader && !ctx_.leads(term)) co_await inbox_.write_entry(id);
   co_return status_response(201, JobStatus{id, JobPhase::pending, 0, 0});
 }
 
 // The job is known already, or the store's answer was lost: a read of the store tells.
-rt::Task<rt::HttpResponse> SubmissionService::answer_stored_earlier(JobId id) {
+rt::Task<rt::HttpResponse> SubmissionService::answer_already_stored(JobId id) {
   const JobLookup lookup = co_await reader_.read_status(id);
   if (!lookup.exists()) co_return retry_later("not known to be stored");
   // What made it known may have been a leader's own write that was applied late, which has no note for the next one.
--- a/src/service/submission_service.hpp
+++ b/src/service/submission_service.hpp
@@ -28,7 +28,7 @@
     InboxWriter& inbox;
   };
   // What it is given belongs to the node and outlives it.
-  SubmissionService(Context& ctx, const Collaborators& with);
+  SubmissionService(Context& ctx, const Collaborators& collaborators);
 
   // A user's POST /api/jobs at this node. Responses: 201, 200, 400, 422, or 503 where it cannot be decided now.
   rt::Task<rt::HttpResponse> submit(std::string body);
@@ -37,14 +37,14 @@
   rt::Task<rt::HttpResponse> accept_as_leader(JobSpec spec);
 
  private:
-  [[nodiscard]] bool may_store(const JobSpec& spec) const;
-  rt::Task<rt::HttpResponse> submit_undecided(JobSpec spec, std::string body);
-  rt::Task<rt::HttpResponse> answer_existing(JobId id, std::string reason_otherwise);
+  [[nodiscard]] bool format_version_allows(const JobSpec& spec) const;
+  rt::Task<rt::HttpResponse> submit_without_configuration(JobSpec spec, std::string body);
+  rt::Task<rt::HttpResponse> answer_if_stored(JobId id, std::string retry_reason);
   rt::Task<rt::HttpResponse> reject(JobId id, Error error);
   rt::Task<rt::HttpResponse> accept(JobSpec spec, bool as_leader);
   rt::Task<rt::HttpResponse> accept_dependent(JobSpec spec, bool as_leader);
   rt::Task<rt::HttpResponse> store_job(JobSpec spec, bool as_leader);
-  rt::Task<rt::HttpResponse> answer_stored_earlier(JobId id);
+  rt::Task<rt::HttpResponse> answer_already_stored(JobId id);
 
   Context& ctx_;
   PeerService& peers_;
--- a/src/service/token_bucket.hpp
+++ b/src/service/token_bucket.hpp
@@ -12,16 +12,16 @@
   // Begins full.
   explicit TokenBucket(double per_second) : per_second_(per_second), tokens_(per_second) {}
   // The rate from now on.
-  void set(double per_second) { per_second_ = per_second; }
+  void set_rate(double per_second) { per_second_ = per_second; }
   // Time to wait before `cost` may be spent while `keep` stays in reserve; zero: spent.
-  Duration take(double cost, double keep, Time now) {
+  Duration try_consume(double cost, double reserve, Time now) {
     refill(now);
-    const double missing = std::min(cost + keep, std::max(1.0, per_second_)) - tokens_;
-    if (missing <= 1e-9) {
+    const double missing_tokens = std::min(cost + reserve, std::max(1.0, per_second_)) - tokens_;
+    if (missing_tokens <= 1e-9) {
       tokens_ -= cost;
       return Duration{0};
     }
-    return seconds(missing / per_second_) + Duration{1000};
+    return seconds(missing_tokens / per_second_) + Duration{1000};
   }
   // Unused share of the bucket, 0 to 1.
   double fill_level(Time now) {
@@ -31,14 +31,14 @@
 
  private:
   void refill(Time now) {
-    if (last_ != Time{}) tokens_ += to_seconds(now - last_) * per_second_;
-    last_ = now;
+    if (last_refill_ != Time{}) tokens_ += to_seconds(now - last_refill_) * per_second_;
+    last_refill_ = now;
     tokens_ = std::min(tokens_, std::max(1.0, per_second_));
   }
 
   double per_second_;
   double tokens_;
-  Time last_{};
+  Time last_refill_{};
 };
 
 }  // namespace martenwall::service
--- a/src/service/worker_service.cpp
+++ b/src/service/worker_service.cpp
@@ -22,8 +22,10 @@
 
 // Commands go to many machines and to each one seldom: their connections are not kept, since with one to each worker,
 // beside the workers' own, a large fleet would use up the sockets.
-WorkerService::WorkerService(Context& ctx, LeaderService& store)
-    : ctx_(ctx), leader_service_(store), http_(ctx.loop, ctx.settings.max_connections / 10, max_response_bytes, 0) {}
+WorkerService::WorkerService(Context& ctx, LeaderService& leader_service)
+    : ctx_(ctx),
+      leader_service_(leader_service),
+      http_(ctx.loop, ctx.settings.max_connections / 10, max_response_bytes, 0) {}
 
 rt::HttpResponse WorkerService::not_leader_response() const {
   const bool other_leads = ctx_.leader != ctx_.settings.node;
@@ -42,7 +44,7 @@
 }
 
 HeartbeatResponse WorkerService::answer(const Heartbeat& heartbeat) {
-  const Time now = ctx_.loop.refresh();
+  const Time now = ctx_.loop.update_time();
   if (ctx_.scheduler == nullptr || !ctx_.leadership.serves_workers(now)) return {};
   if (heartbeat.token > ctx_.leadership.token()) {
     leader_service_.step_down(StepDownReason::higher_token_seen);
@@ -51,10 +53,10 @@
   if (ctx_.scheduler->is_released(heartbeat.machine)) return {HeartbeatResponse::Kind::released, {}};
   HeartbeatResponse out{HeartbeatResponse::Kind::commands, {}};
   out.commands = ctx_.scheduler->on_heartbeat(heartbeat, StatusSource::heartbeat, now, ctx_.may_start());
-  if (ctx_.scheduler->must_not_be_answered(heartbeat.machine)) return {HeartbeatResponse::Kind::released, {}};
+  if (ctx_.scheduler->must_withhold_response(heartbeat.machine)) return {HeartbeatResponse::Kind::released, {}};
   // From here its lease may be renewed. It counts from the sending of the heartbeat, which lies before this moment,
   // however long the answer takes and whichever node hands it over.
-  ctx_.scheduler->on_heartbeat_answered(heartbeat.machine, ctx_.loop.refresh());
+  ctx_.scheduler->on_heartbeat_answered(heartbeat.machine, ctx_.loop.update_time());
   return out;
 }
 
@@ -81,15 +83,15 @@
       co_await ctx_.loop.sleep(min_cycle_gap);
       continue;
     }
-    const Time began = ctx_.loop.refresh();
+    const Time began = ctx_.loop.update_time();
     const bool may_start = ctx_.may_start();
     if (may_start) ctx_.scheduler->run_cycle(ctx_.now());
-    const Duration spent = ctx_.loop.refresh() - began;
-    if (may_start) ctx_.metrics.cycles.observe(spent);
+    const Duration cycle_time = ctx_.loop.update_time() - began;
+    if (may_start) ctx_.metrics.cycles.observe(cycle_time);
     if (ctx_.scheduler->has_writes(false, ctx_.now())) ctx_.writes_due.notify();
     ctx_.write_committed.notify();  // stop commands need no commit: let the sender look
     // Where cycles are slow, heartbeats, lease renewals and users come first.
-    co_await ctx_.loop.sleep(std::max(min_cycle_gap, spent * cycle_gap_factor));
+    co_await ctx_.loop.sleep(std::max(min_cycle_gap, cycle_time * cycle_gap_factor));
   }
 }
 
@@ -136,10 +138,11 @@
   auto remaining = std::make_shared<std::vector<CommandBatch>>(ctx_.scheduler->announcements());
   std::ranges::reverse(*remaining);
   // Detached: they end with the shared list, or with this leadership.
-  for (int i = 0; i < max_parallel_announcements; ++i) rt::spawn(announce_some(term, remaining));
+  for (int i = 0; i < max_parallel_announcements; ++i) rt::spawn(announce_remaining(term, remaining));
 }
 
-rt::Task<void> WorkerService::announce_some(std::uint64_t term, std::shared_ptr<std::vector<CommandBatch>> remaining) {
+rt::Task<void> WorkerService::announce_remaining(std::uint64_t term,
+                                                 std::shared_ptr<std::vector<CommandBatch>> remaining) {
   while (ctx_.leads(term) && !remaining->empty()) {
     CommandBatch batch = std::move(remaining->back());
     remaining->pop_back();
--- a/src/service/worker_service.hpp
+++ b/src/service/worker_service.hpp
@@ -14,7 +14,7 @@
 class WorkerService {
  public:
   // What it is given belongs to the node and outlives it.
-  WorkerService(Context& ctx, LeaderService& store);
+  WorkerService(Context& ctx, LeaderService& leader_service);
 
   // Waits, up to some seconds, while this node is about to know whether it leads. `answer` must follow without a wait
   // between, or else the role may have changed again.
@@ -39,7 +39,7 @@
  private:
   rt::Task<void> send(std::uint64_t term, CommandBatch batch);
   void announce_all(std::uint64_t term);
-  rt::Task<void> announce_some(std::uint64_t term, std::shared_ptr<std::vector<CommandBatch>> remaining);
+  rt::Task<void> announce_remaining(std::uint64_t term, std::shared_ptr<std::vector<CommandBatch>> remaining);
   rt::Task<void> announce(std::uint64_t term, CommandBatch batch);
 
   Context& ctx_;
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -14,7 +14,7 @@
     if (!name || !cpus) return std::nullopt;
     MachineType t;
     t.name = *name;
-    t.room = {*cpus, number(b, "accelerators").value_or(0), number(b, "memGb").value_or(0)};
+    t.capacity = {*cpus, number(b, "accelerators").value_or(0), number(b, "memGb").value_or(0)};
     t.cache_gb = number(b, "cacheGb").value_or(0);
     t.fetch_gb_per_s = number(b, "pullGbPerS").value_or(0);
     t.price = number(b, "hourly").value_or(0);
@@ -33,9 +33,9 @@
   auto rows = json::array();
   for (const auto& t : types) {
     rows.push_back({{"sku", t.name},
-                    {"cpus", t.room.cpus},
-                    {"accelerators", t.room.gpus},
-                    {"memGb", t.room.memory_gb},
+                    {"cpus", t.capacity.cpus},
+                    {"accelerators", t.capacity.gpus},
+                    {"memGb", t.capacity.memory_gb},
                     {"cacheGb", t.cache_gb},
                     {"pullGbPerS", t.fetch_gb_per_s},
                     {"hourly", t.price},
--- a/src/wire/configuration_codec.hpp
+++ b/src/wire/configuration_codec.hpp
@@ -20,7 +20,7 @@
 struct ConfigurationRow {
   ConfigurationVersion version;
   json document = json::object();
-  std::string mark;                            // of the transaction that wrote it
+  std::string transaction_id;                  // of the transaction that wrote it
   std::vector<ConfigurationVersion> recorded;  // rows of changes that are there, oldest first
 };
 // The value of the configuration's key.
@@ -32,12 +32,12 @@
 struct ConfigurationChange {
   ConfigurationVersion version;
   std::int64_t at_ms = 0;  // time of day
-  std::string by;
+  std::string author;
   json patch;
 };
 // Changes that were committed together.
 struct ChangesRow {
-  std::string mark;
+  std::string transaction_id;
   std::vector<ConfigurationChange> changes;
 };
 // The value of a row of changes.
@@ -48,12 +48,12 @@
 // What an operator's command, or another node, asks a node.
 struct ConfigurationRequest {
   // `follow` is asked by a node that makes the first change, the others by the command.
-  enum class Ask : std::uint8_t { get, apply, history, follow };
-  Ask ask = Ask::get;
+  enum class Action : std::uint8_t { get, apply, history, follow };
+  Action action = Action::get;
   json patch{};
   std::optional<ConfigurationVersion> expected{};  // apply only where this one is the newest
   bool dry_run = false;
-  std::string by{};
+  std::string author{};
 };
 // The body of a peer request.
 std::string encode_configuration_request(const ConfigurationRequest& request);
--- a/src/wire/heartbeat_codec.cpp
+++ b/src/wire/heartbeat_codec.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::size_t most_tasks = 8000;  // of one machine; a report of 64 KiB tells of fewer than a thousand
-constexpr std::size_t most_bytes = 256 * 1024;
-constexpr std::size_t per_heartbeat = 64;  // framing of what is not text
-constexpr std::size_t per_task = 32;
-constexpr std::size_t per_command = 40;
+constexpr std::size_t max_tasks = 8000;  // of one machine; a report of 64 KiB tells of fewer than a thousand
+constexpr std::size_t max_bytes = 256 * 1024;
+constexpr std::size_t heartbeat_overhead_bytes = 64;  // framing of what is not text
+constexpr std::size_t task_overhead_bytes = 32;
+constexpr std::size_t command_overhead_bytes = 40;
 
 using NodeTuple = std::tuple<std::string, std::uint64_t, std::uint64_t>;
 using TaskTuple = std::tuple<std::string, std::uint32_t, std::uint64_t, std::uint8_t, std::uint8_t, bool>;
@@ -22,10 +22,10 @@
 using BatchTuple = std::tuple<NodeTuple, std::vector<HeartbeatTuple>>;
 using CommandTuple = std::tuple<std::uint8_t, std::string, std::uint32_t, std::uint64_t, double>;
 using HeartbeatResponseTuple = std::tuple<std::uint8_t, std::vector<CommandTuple>>;
-using AnswersTuple = std::tuple<std::uint64_t, std::vector<HeartbeatResponseTuple>, std::vector<NodeTuple>>;
+using ResponsesTuple = std::tuple<std::uint64_t, std::vector<HeartbeatResponseTuple>, std::vector<NodeTuple>>;
 
-NodeTuple to_tuple(const NodeRoom& n) { return {n.node, n.workers, n.room}; }
-NodeRoom from_tuple(NodeTuple t) { return {std::move(std::get<0>(t)), std::get<1>(t), std::get<2>(t)}; }
+NodeTuple to_tuple(const NodeCapacity& n) { return {n.node, n.workers, n.capacity}; }
+NodeCapacity from_tuple(NodeTuple t) { return {std::move(std::get<0>(t)), std::get<1>(t), std::get<2>(t)}; }
 
 HeartbeatTuple to_tuple(const Heartbeat& r) {
   std::vector<TaskTuple> tasks;
@@ -96,8 +96,8 @@
 
 template <class Tuple>
 std::optional<Tuple> unpack(std::string_view bytes) {
-  if (bytes.size() > most_bytes) return std::nullopt;
-  const msgpack::unpack_limit limits{most_tasks, 0, most_bytes, 0, 0, 6};
+  if (bytes.size() > max_bytes) return std::nullopt;
+  const msgpack::unpack_limit limits{max_tasks, 0, max_bytes, 0, 0, 6};
   try {
     std::size_t end = 0;
     const auto handle = msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, limits);
@@ -118,14 +118,14 @@
 }  // namespace
 
 std::size_t encoded_size(const Heartbeat& r) {
-  std::size_t n = per_heartbeat + r.machine.value().size() + r.addr.size() + r.type.size() + r.zone.size();
-  for (const auto& t : r.tasks) n += per_task + t.task.job.value().size();
+  std::size_t n = heartbeat_overhead_bytes + r.machine.value().size() + r.addr.size() + r.type.size() + r.zone.size();
+  for (const auto& t : r.tasks) n += task_overhead_bytes + t.task.job.value().size();
   return n;
 }
 
 std::size_t encoded_size(const HeartbeatResponse& a) {
   std::size_t n = 8;
-  for (const auto& o : a.commands) n += per_command + o.task.job.value().size();
+  for (const auto& o : a.commands) n += command_overhead_bytes + o.task.job.value().size();
   return n;
 }
 
@@ -141,7 +141,7 @@
   for (const auto& a : responses.responses) list.push_back(to_tuple(a));
   std::vector<NodeTuple> nodes;
   for (const auto& n : responses.nodes) nodes.push_back(to_tuple(n));
-  return pack(AnswersTuple{responses.token.value(), std::move(list), std::move(nodes)});
+  return pack(ResponsesTuple{responses.token.value(), std::move(list), std::move(nodes)});
 }
 
 std::optional<HeartbeatBatch> decode_batch(std::string_view bytes) {
@@ -157,7 +157,7 @@
 }
 
 std::optional<HeartbeatResponses> decode_responses(std::string_view bytes) {
-  auto t = unpack<AnswersTuple>(bytes);
+  auto t = unpack<ResponsesTuple>(bytes);
   if (!t) return std::nullopt;
   HeartbeatResponses out{FencingToken{std::get<0>(*t)}, {}, {}};
   for (auto& a : std::get<1>(*t)) {
--- a/src/wire/heartbeat_codec.hpp
+++ b/src/wire/heartbeat_codec.hpp
@@ -10,14 +10,14 @@
 namespace martenwall::wire {
 
 // How many workers a node holds, and would hold.
-struct NodeRoom {
+struct NodeCapacity {
   std::string node;
-  std::uint64_t workers = 0, room = 0;
+  std::uint64_t workers = 0, capacity = 0;
 };
 
 // What a follower sends to the leader.
 struct HeartbeatBatch {
-  NodeRoom sender;
+  NodeCapacity sender;
   std::vector<Heartbeat> heartbeats;
 };
 
@@ -25,16 +25,17 @@
 struct HeartbeatResponses {
   FencingToken token;
   std::vector<HeartbeatResponse> responses;  // in the order of the heartbeats
-  std::vector<NodeRoom> nodes;               // that the leader heard lately, itself included
+  std::vector<NodeCapacity> nodes;           // that the leader heard lately, itself included
 };
 
 constexpr std::size_t max_batch_heartbeats = 64;
-constexpr std::size_t max_batch_bytes = 60 * 1024;   // of heartbeats; the rest of a frame is its framing
-constexpr std::size_t max_answer_bytes = 60 * 1024;  // of commands; what is beyond is left for the next heartbeat
+constexpr std::size_t max_batch_bytes = 60 * 1024;  // of heartbeats; the rest of a frame is its framing
+constexpr std::size_t max_batch_response_bytes =
+    60 * 1024;  // of commands; what is beyond is left for the next heartbeat
 
 // An upper bound of what it takes in a batch, bytes.
 std::size_t encoded_size(const Heartbeat& heartbeat);
-// The same for an answer, within `max_answer_bytes`.
+// The same for an answer, within `max_batch_response_bytes`.
 std::size_t encoded_size(const HeartbeatResponse& answer);
 
 // The msgpack bytes of a request's body.
--- a/src/wire/json_fields.hpp
+++ b/src/wire/json_fields.hpp
@@ -12,9 +12,9 @@
 using nlohmann::json;
 
 // How deep arrays and objects nest, brackets within texts apart.
-inline int nesting_of(const std::string& text) {
+inline int nesting_depth(const std::string& text) {
   int depth = 0;
-  int deepest = 0;
+  int max_depth = 0;
   bool in_text = false;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
@@ -24,19 +24,19 @@
     } else if (c == '"') {
       in_text = true;
     } else if (c == '{' || c == '[') {
-      deepest = std::max(deepest, ++depth);
+      max_depth = std::max(max_depth, ++depth);
     } else if (c == '}' || c == ']') {
       --depth;
     }
   }
-  return deepest;
+  return max_depth;
 }
 
 // The value, or null where the text is no JSON or nests too deeply.
 inline json parse(const std::string& text) {
   // Deep nesting would exhaust the stack of a recursive reader; nothing of PROTOCOL nests deeper.
-  constexpr int deepest = 12;
-  if (nesting_of(text) > deepest) return {};
+  constexpr int max_depth = 12;
+  if (nesting_depth(text) > max_depth) return {};
   auto value = json::parse(text, nullptr, false);
   return value.is_discarded() ? json{} : value;
 }
--- a/src/wire/peer_codec.cpp
+++ b/src/wire/peer_codec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t prefix = 4;
+constexpr std::size_t prefix_bytes = 4;
 using StatusTuple = std::tuple<bool, std::uint8_t, std::uint32_t, std::uint32_t>;
 
 std::string frame(const msgpack::sbuffer& buffer) {
@@ -67,9 +67,9 @@
 }
 
 std::optional<std::size_t> frame_size(std::string_view data) {
-  if (data.size() < prefix) return std::nullopt;
+  if (data.size() < prefix_bytes) return std::nullopt;
   std::size_t n = 0;
-  for (std::size_t i = 0; i < prefix; ++i) n = (n << 8U) | static_cast<unsigned char>(data[i]);
+  for (std::size_t i = 0; i < prefix_bytes; ++i) n = (n << 8U) | static_cast<unsigned char>(data[i]);
   return n;
 }
 
--- a/src/wire/peer_codec.hpp
+++ b/src/wire/peer_codec.hpp
@@ -40,11 +40,11 @@
 constexpr std::size_t max_peer_jobs = 256;
 
 // The status of a reply to `cloud` where the cloud did not answer the node that passed the request on.
-constexpr int status_no_answer = 0;
+constexpr int status_no_response = 0;
 
 // The reply to any request.
 struct PeerReply {
-  int status = status_no_answer;  // of HTTP; 421: the node asked does not lead
+  int status = status_no_response;  // of HTTP; 421: the node asked does not lead
   std::string body;
   std::vector<PeerStatus> statuses{};
 };
--- a/src/wire/store_codec.cpp
+++ b/src/wire/store_codec.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::optional<StoreItem> item_of(const json& o) {
+std::optional<StoreItem> parse_item_object(const json& o) {
   const auto key = text(o, "path");
   const auto version = count(o, "stamp");
   const auto* value = field(o, "data");
@@ -39,7 +39,7 @@
 
 std::string renew_lease_target(LeaseId lease) { return lease_target(lease) + "/touch"; }
 
-std::optional<StoreItem> parse_item(const std::string& body) { return item_of(parse(body)); }
+std::optional<StoreItem> parse_item(const std::string& body) { return parse_item_object(parse(body)); }
 
 std::optional<StorePage> parse_page(const std::string& body) {
   const auto o = parse(body);
@@ -47,7 +47,7 @@
   if (!revision || field(o, "rows") == nullptr) return std::nullopt;
   StorePage page{{}, flag(o, "more").value_or(false), Revision{*revision}};
   for (const auto& row : list(o, "rows")) {
-    auto item = item_of(row);
+    auto item = parse_item_object(row);
     if (!item) return std::nullopt;
     page.items.push_back(std::move(*item));
   }
@@ -106,7 +106,7 @@
   return JobId{key.substr(prefix_size)};
 }
 std::string final_key(const JobId& id) { return final_prefix + id.value(); }
-std::string just_before_final(const JobId& id) {
+std::string final_key_cursor_before(const JobId& id) {
   std::string key = final_key(id);
   key.back() = static_cast<char>(key.back() - 1);
   return key + '~';  // above all that an id is made of
@@ -166,24 +166,24 @@
   return job;
 }
 
-json encode_chunk_names(const ChunkNames& names) { return {{"pieces", {names.nonce, names.count}}}; }
+json encode_chunk_manifest(const ChunkManifest& names) { return {{"pieces", {names.nonce, names.count}}}; }
 
-std::optional<ChunkNames> decode_chunk_names(const json& v) {
+std::optional<ChunkManifest> decode_chunk_manifest(const json& v) {
   constexpr std::uint64_t most = 100'000;
   const auto& names = list(v, "pieces");
   if (names.size() != 2 || !names[0].is_string() || !names[1].is_number_unsigned()) return std::nullopt;
   if (names[1].get<std::uint64_t>() > most) return std::nullopt;
-  return ChunkNames{names[0].get<std::string>(), names[1].get<std::size_t>()};
+  return ChunkManifest{names[0].get<std::string>(), names[1].get<std::size_t>()};
 }
 
 // Cut as text: a name or list may be longer than any value. What JSON adds to a text's length is measured; names have
 // no bytes of more than one unit, or the encoder below would have replaced them.
-std::vector<json> encode_chunks(const json& row, std::size_t most_bytes) {
+std::vector<json> encode_chunks(const json& row, std::size_t max_bytes) {
   const std::string text = row.dump(-1, ' ', true, json::error_handler_t::replace);
   std::vector<json> out;
   for (std::size_t at = 0; at < text.size();) {
-    std::size_t n = std::min(text.size() - at, most_bytes);
-    while (n > 1 && json(text.substr(at, n)).dump().size() + 16 > most_bytes) n -= std::max<std::size_t>(1, n / 16);
+    std::size_t n = std::min(text.size() - at, max_bytes);
+    while (n > 1 && json(text.substr(at, n)).dump().size() + 16 > max_bytes) n -= std::max<std::size_t>(1, n / 16);
     out.push_back({{"text", text.substr(at, n)}});
     at += n;
   }
@@ -240,7 +240,7 @@
            {"next", row.next_attempt},
            {"done", row.done},
            {"on", std::move(held)}};
-  if (row.failed > 0) out["failed"] = row.failed;
+  if (row.failed_machines > 0) out["failed"] = row.failed_machines;
   if (!row.is_v1) out["n"] = row.size;
   return out;
 }
@@ -248,7 +248,7 @@
 namespace {
 
 // Its key ends in a number, whose meaning is the caller's.
-std::optional<std::pair<TaskRow, std::uint32_t>> decode_numbered(const std::string& key, const json& v) {
+std::optional<std::pair<TaskRow, std::uint32_t>> decode_numbered_row(const std::string& key, const json& v) {
   constexpr std::size_t prefix = 2;
   const auto slash = key.rfind('/');
   if (key.size() <= prefix || slash == std::string::npos || slash < prefix) return std::nullopt;
@@ -261,7 +261,7 @@
   row.team = text(v, "team").value_or("");
   row.priority = static_cast<Priority>(count(v, "rank").value_or(1) & 3U);
   row.next_attempt = *next;
-  row.failed = static_cast<std::uint32_t>(std::min<std::uint64_t>(count(v, "failed").value_or(0), 100'000));
+  row.failed_machines = static_cast<std::uint32_t>(std::min<std::uint64_t>(count(v, "failed").value_or(0), 100'000));
   for (const auto& n : need) {
     if (!n.is_number()) return std::nullopt;
   }
@@ -287,7 +287,7 @@
 }  // namespace
 
 std::optional<TaskRow> decode_tasks(const std::string& key, const json& v) {
-  auto read = decode_numbered(key, v);
+  auto read = decode_numbered_row(key, v);
   const auto size = count(v, "n");
   constexpr std::uint64_t most = 1'000'000;
   if (!read || !size || *size == 0 || *size > most) return std::nullopt;
@@ -297,7 +297,7 @@
 }
 
 std::optional<TaskRow> decode_v1_tasks(const std::string& key, const json& v, std::uint32_t v1_row_size) {
-  auto read = decode_numbered(key, v);
+  auto read = decode_numbered_row(key, v);
   if (!read) return std::nullopt;
   read->first.is_v1 = true;
   read->first.first = read->second * v1_row_size;
@@ -355,28 +355,30 @@
   return out;
 }
 
-json encode_note(const std::string& node, bool cancel) {
+json encode_inbox_entry(const std::string& node, bool cancel) {
   json note{{"node", node}};
   if (cancel) note["cancel"] = true;
   return note;
 }
 
-bool asks_to_cancel(const json& note) { return flag(note, "cancel").value_or(false); }
+bool requests_cancellation(const json& note) { return flag(note, "cancel").value_or(false); }
 
 // Job ids have no '~', so that these notes may share the prefix that the leader watches.
-constexpr const char* reach_prefix = "i/~";
-std::string reach_key(const std::string& node) { return reach_prefix + node; }
-bool is_reach_key(const std::string& key) { return key.starts_with(reach_prefix); }
-std::string node_of_reach_key(const std::string& key) { return key.substr(std::string_view(reach_prefix).size()); }
-json encode_reach(std::size_t stranded) { return {{"stranded", stranded}}; }
-std::optional<std::size_t> decode_reach(const json& note) {
+constexpr const char* stranded_workers_prefix = "i/~";
+std::string stranded_workers_key(const std::string& node) { return stranded_workers_prefix + node; }
+bool is_stranded_workers_key(const std::string& key) { return key.starts_with(stranded_workers_prefix); }
+std::string node_of_stranded_workers_key(const std::string& key) {
+  return key.substr(std::string_view(stranded_workers_prefix).size());
+}
+json encode_stranded_workers(std::size_t stranded) { return {{"stranded", stranded}}; }
+std::optional<std::size_t> decode_stranded_workers(const json& note) {
   const auto n = count(note, "stranded");
   return n ? std::optional<std::size_t>{static_cast<std::size_t>(*n)} : std::nullopt;
 }
 
 std::string transaction_id_of(const json& value) { return value.value(transaction_id_field, ""); }
 
-std::optional<std::vector<std::string>> parse_failed(const std::string& body) {
+std::optional<std::vector<std::string>> parse_failed_keys(const std::string& body) {
   const json answer = parse(body);
   const auto* failed = field(answer, "failed");
   if (failed == nullptr || !failed->is_array()) return std::nullopt;
--- a/src/wire/store_codec.hpp
+++ b/src/wire/store_codec.hpp
@@ -92,7 +92,7 @@
 // The inbox entry about a job.
 std::string inbox_key(const JobId& id);
 // A text that sorts before the job's key and after every other job's key that does; to list from there on.
-std::string just_before_final(const JobId& id);
+std::string final_key_cursor_before(const JobId& id);
 // The records of a group of machines.
 std::string machines_key(std::uint32_t group);
 // The range of tasks that begins at index `first`.
@@ -129,16 +129,16 @@
 std::optional<Job> decode_job_row(const json& value, Time now, std::int64_t wall_ms);
 // A row that is too long for one value: what stands at its key names the pieces, which stand at keys of their own.
 // Neither has a field `spec`, so that a version of level 1 leaves such a row alone.
-struct ChunkNames {
+struct ChunkManifest {
   std::string nonce;
   std::size_t count = 0;
 };
 // What stands at the job's own key.
-json encode_chunk_names(const ChunkNames& names);
+json encode_chunk_manifest(const ChunkManifest& names);
 // Nothing where the row stands whole at its key.
-std::optional<ChunkNames> decode_chunk_names(const json& value);
-// The row in pieces of at most `most_bytes` each, in their order.
-std::vector<json> encode_chunks(const json& row, std::size_t most_bytes);
+std::optional<ChunkManifest> decode_chunk_manifest(const json& value);
+// The row in pieces of at most `max_bytes` each, in their order.
+std::vector<json> encode_chunks(const json& row, std::size_t max_bytes);
 json join_chunks(const std::vector<json>& chunks);  // null where they do not make a row
 
 // What a node's version reads and writes, and what all nodes are known to. It never falls.
@@ -168,18 +168,18 @@
 json encode_machines(const std::vector<MachineRecord>& facts);
 std::vector<MachineRecord> decode_machines(const std::string& key, const json& value);  // what can be read of it
 // An inbox entry: which node left it, and whether the job is to be cancelled.
-json encode_note(const std::string& node, bool cancel);
+json encode_inbox_entry(const std::string& node, bool cancel);
 // Whether an inbox entry asks for the job to be cancelled.
-bool asks_to_cancel(const json& note);
+bool requests_cancellation(const json& note);
 // A node that does not reach the leader tells it so how many workers it cannot hand over to it.
-std::string reach_key(const std::string& node);
+std::string stranded_workers_key(const std::string& node);
 // Whether an inbox key is a node's, not a job's.
-bool is_reach_key(const std::string& key);
-std::string node_of_reach_key(const std::string& key);  // of a key that is one
+bool is_stranded_workers_key(const std::string& key);
+std::string node_of_stranded_workers_key(const std::string& key);  // of a key that is one
 // The number of workers that a node cannot hand over.
-json encode_reach(std::size_t stranded);
+json encode_stranded_workers(std::size_t stranded);
 // Nothing where the form is another.
-std::optional<std::size_t> decode_reach(const json& note);
+std::optional<std::size_t> decode_stranded_workers(const json& note);
 
 // Every value that the leader writes carries the id of its transaction in this field.
 constexpr const char* transaction_id_field = "by";
@@ -187,6 +187,6 @@
 
 // The keys whose conditions failed, of the answer to a transaction that met a conflict. Nothing where the form is
 // another: such an answer tells nothing of any key.
-std::optional<std::vector<std::string>> parse_failed(const std::string& body);
+std::optional<std::vector<std::string>> parse_failed_keys(const std::string& body);
 
 }  // namespace martenwall::wire
--- a/src/wire/user_codec.cpp
+++ b/src/wire/user_codec.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 // In the order of JobKind, Priority and JobPhase.
-constexpr std::array<std::string_view, 3> shapes{"sweep", "ensemble", "service"};
-constexpr std::array<std::string_view, 4> ranks{"best_effort", "normal", "high", "prod"};
-constexpr std::array<std::string_view, 4> phases{"pending", "running", "done", "withdrawn"};
-constexpr std::size_t max_text = 200;
+constexpr std::array<std::string_view, 3> kind_names{"sweep", "ensemble", "service"};
+constexpr std::array<std::string_view, 4> priority_names{"best_effort", "normal", "high", "prod"};
+constexpr std::array<std::string_view, 4> phase_names{"pending", "running", "done", "withdrawn"};
+constexpr std::size_t max_text_bytes = 200;
 constexpr std::uint64_t max_tasks = 100'000;  // by PROTOCOL
 constexpr double max_amount = 1e9;            // beyond it, sums would lose precision
 constexpr std::size_t max_types = 100;
-constexpr std::size_t max_job_id = 120;  // leaves room for the prefixes of the store's keys, of 200 bytes
+constexpr std::size_t max_job_id_bytes = 120;  // leaves room for the prefixes of the store's keys, of 200 bytes
 
 // Thrown and caught in this file only.
 struct InvalidField {
@@ -24,26 +24,26 @@
 };
 
 template <std::size_t N>
-std::size_t index_in(const std::array<std::string_view, N>& names, const json& o, const char* name) {
+std::size_t require_index(const std::array<std::string_view, N>& names, const json& o, const char* name) {
   const auto value = text(o, name);
   const auto it = value ? std::ranges::find(names, *value) : names.end();
   if (it == names.end()) throw InvalidField{name};
   return static_cast<std::size_t>(it - names.begin());
 }
 
-std::string need_text(const json& o, const char* name) {
+std::string require_text(const json& o, const char* name) {
   auto value = text(o, name);
-  if (!value || value->empty() || value->size() > max_text) throw InvalidField{name};
+  if (!value || value->empty() || value->size() > max_text_bytes) throw InvalidField{name};
   return *std::move(value);
 }
 
-double need_amount(const json& o, const char* name) {
+double require_amount(const json& o, const char* name) {
   const auto amount = number(o, name);
   if (!amount || *amount < 0 || *amount > max_amount) throw InvalidField{name};
   return *amount;
 }
 
-bool need_flag(const json& o, const char* name) {
+bool require_flag(const json& o, const char* name) {
   const auto value = flag(o, name);
   if (!value) throw InvalidField{name};
   return *value;
@@ -55,7 +55,7 @@
   if (!f->is_array() || f->size() > max_types) throw InvalidField{"breeds"};
   std::vector<std::string> out;
   for (const auto& t : *f) {
-    if (!t.is_string() || t.get_ref<const std::string&>().size() > max_text) throw InvalidField{"breeds"};
+    if (!t.is_string() || t.get_ref<const std::string&>().size() > max_text_bytes) throw InvalidField{"breeds"};
     out.push_back(t.get<std::string>());
   }
   return out;
@@ -78,30 +78,30 @@
 
 JobSpec read_job(const json& o) {
   JobSpec s;
-  s.id = JobId{need_text(o, "ref")};
+  s.id = JobId{require_text(o, "ref")};
   if (!valid_job_id(s.id.value())) throw InvalidField{"ref"};
-  s.job_class = need_text(o, "lane");
-  s.team = need_text(o, "crew");
-  s.kind = static_cast<JobKind>(index_in(shapes, o, "shape"));
-  s.priority = static_cast<Priority>(index_in(ranks, o, "rank"));
+  s.job_class = require_text(o, "lane");
+  s.team = require_text(o, "crew");
+  s.kind = static_cast<JobKind>(require_index(kind_names, o, "shape"));
+  s.priority = static_cast<Priority>(require_index(priority_names, o, "rank"));
   const auto tasks = count(o, "shards");
   if (!tasks || *tasks < 1 || *tasks > max_tasks) throw InvalidField{"shards"};
   s.tasks = static_cast<std::uint32_t>(*tasks);
-  s.need = {need_amount(o, "cpus"), need_amount(o, "accelerators"), need_amount(o, "memGb")};
-  s.image = need_text(o, "bundle");
-  s.image_gb = need_amount(o, "pullGb");
+  s.need = {require_amount(o, "cpus"), require_amount(o, "accelerators"), require_amount(o, "memGb")};
+  s.image = require_text(o, "bundle");
+  s.image_gb = require_amount(o, "pullGb");
   s.types = types_of(o);
   if (const auto* zone = field(o, "yard")) {
     if (!zone->is_string()) throw InvalidField{"yard"};
-    s.zone = need_text(o, "yard");
+    s.zone = require_text(o, "yard");
   }
-  s.one_zone = need_flag(o, "oneZone");
-  s.spread = need_flag(o, "spread");
-  s.spot = need_flag(o, "loaners");
-  s.estimate_s = need_amount(o, "guessS");
-  s.checkpoint_interval_s = need_amount(o, "markEveryS");
-  s.checkpoint_duration_s = need_amount(o, "markCostS");
-  if (field(o, "dueS") != nullptr) s.deadline_s = need_amount(o, "dueS");
+  s.one_zone = require_flag(o, "oneZone");
+  s.spread = require_flag(o, "spread");
+  s.spot = require_flag(o, "loaners");
+  s.estimate_s = require_amount(o, "guessS");
+  s.checkpoint_interval_s = require_amount(o, "markEveryS");
+  s.checkpoint_duration_s = require_amount(o, "markCostS");
+  if (field(o, "dueS") != nullptr) s.deadline_s = require_amount(o, "dueS");
   s.dependencies = dependencies_of(o);
   return s;
 }
@@ -110,7 +110,7 @@
 
 bool valid_job_id(const std::string& id) {
   constexpr std::string_view prefix = "job-";
-  if (!id.starts_with(prefix) || id.size() == prefix.size() || id.size() > max_job_id) return false;
+  if (!id.starts_with(prefix) || id.size() == prefix.size() || id.size() > max_job_id_bytes) return false;
   return std::ranges::all_of(id.substr(prefix.size()), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' || c == '_' ||
            c == '.';
@@ -132,8 +132,8 @@
   json o{{"ref", s.id.value()},
          {"lane", s.job_class},
          {"crew", s.team},
-         {"shape", shapes.at(static_cast<std::size_t>(s.kind))},
-         {"rank", ranks.at(static_cast<std::size_t>(s.priority))},
+         {"shape", kind_names.at(static_cast<std::size_t>(s.kind))},
+         {"rank", priority_names.at(static_cast<std::size_t>(s.priority))},
          {"shards", s.tasks},
          {"cpus", s.need.cpus},
          {"accelerators", s.need.gpus},
@@ -155,7 +155,7 @@
 
 std::string encode_status(const JobStatus& s) {
   json body{{"ref", s.id.value()},
-            {"phase", phases.at(static_cast<std::size_t>(s.phase))},
+            {"phase", phase_names.at(static_cast<std::size_t>(s.phase))},
             {"done", s.done},
             {"running", s.running}};
   if (!s.pending_reason.empty()) body["waits"] = s.pending_reason;
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -25,10 +25,10 @@
 ExitCause cause_of(const std::string& s) {
   static constexpr std::array<std::pair<std::string_view, ExitCause>, 8> names{{{"done", ExitCause::done},
                                                                                 {"stopped", ExitCause::stopped},
-                                                                                {"peers", ExitCause::peers},
-                                                                                {"alone", ExitCause::alone},
+                                                                                {"peers", ExitCause::peer_lost},
+                                                                                {"alone", ExitCause::gang_incomplete},
                                                                                 {"error", ExitCause::error},
-                                                                                {"full", ExitCause::no_room},
+                                                                                {"full", ExitCause::no_capacity},
                                                                                 {"busy", ExitCause::busy},
                                                                                 {"no_such", ExitCause::unknown}}};
   for (const auto& [name, cause] : names) {
--- a/stand_ins/rules.cpp
+++ b/stand_ins/rules.cpp
@@ -95,7 +95,7 @@
   }
   if (holders.emplace(place.machine, place.zone).second) used_[w.spec.team].add(w.spec.need);
   check_limit(w.spec.team, now);
-  if (w.reported_cancelled && now - *w.reported_cancelled > seconds(terms_.cancel_s)) {
+  if (w.reported_cancelled && now - *w.reported_cancelled > seconds(timings_.cancel_s)) {
     report_violation("ran_cancelled " + to_string(task) + " starts on " + place.machine.value(), now);
   }
 }
@@ -208,7 +208,7 @@
 void Rules::tick(Time now) {
   for (const auto& [id, tasks] : on_) {
     const auto& w = jobs_.at(id);
-    if (!w.reported_cancelled || now - *w.reported_cancelled <= seconds(terms_.cancel_s)) continue;
+    if (!w.reported_cancelled || now - *w.reported_cancelled <= seconds(timings_.cancel_s)) continue;
     for (const auto& [index, holders] : tasks) {
       for (const auto& [machine, zone] : holders) {
         report_violation("ran_cancelled " + to_string(TaskId{id, index}) + " on " + machine.value(), now);
--- a/stand_ins/rules.hpp
+++ b/stand_ins/rules.hpp
@@ -42,7 +42,7 @@
 // Checks PROTOCOL's rules against what workers and users observe, and collects violations.
 class Rules {
  public:
-  Rules(WorkerTerms terms, std::vector<Team> teams) : terms_(terms), limits_{{std::move(teams)}} {}
+  Rules(WorkerTimings timings, std::vector<Team> teams) : timings_(timings), limits_{{std::move(teams)}} {}
   // Registers a job that a user is about to submit.
   SubmittedJob& add(JobSpec spec, double run_s, Time now);
   [[nodiscard]] const SubmittedJob& job(const JobId& id) const { return jobs_.at(id); }
@@ -102,7 +102,7 @@
     Time until = Time::max();  // a start may go by them
   };
   using Holders = std::map<MachineId, std::string>;  // with their zones
-  WorkerTerms terms_;
+  WorkerTimings timings_;
   std::vector<Limits> limits_;  // the newest last
   std::map<JobId, SubmittedJob> jobs_;
   std::map<JobId, std::map<std::uint32_t, Holders>> on_;  // tasks on machines
--- a/stand_ins/worker_model.cpp
+++ b/stand_ins/worker_model.cpp
@@ -214,7 +214,7 @@
   } else if (t.phase == Phase::saving && now >= t.until) {
     t.saved = true;
     end_task(t, key, "stopped", now);
-  } else if (t.phase == Phase::gathering && now - t.since > seconds(world_.terms.gang_wait_s)) {
+  } else if (t.phase == Phase::gathering && now - t.since > seconds(world_.timings.gang_wait_s)) {
     end_task(t, key, "alone", now);
   } else if (t.phase == Phase::running && t.peer_lost && now >= *t.peer_lost) {
     end_task(t, key, "peers", now);
@@ -224,7 +224,7 @@
 void WorkerModel::tick(Time now, bool hangs) {
   if (!up(now)) return;
   // One that hangs may go on within its lease, and no longer.
-  if (now - lease_renewed_at_ > seconds(world_.terms.lease_s)) {
+  if (now - lease_renewed_at_ > seconds(world_.timings.lease_s)) {
     lost_to_lease_ += tasks_.size();
     forget_all();
     ++incarnation_;
@@ -291,7 +291,7 @@
       }
     } else if (in(Phase::running) > 0 && in(Phase::running) < work.spec.tasks) {
       for (auto& m : members) {
-        if (!m.task->peer_lost) m.task->peer_lost = now + seconds(world.terms.gang_peer_s);
+        if (!m.task->peer_lost) m.task->peer_lost = now + seconds(world.timings.gang_peer_s);
       }
     }
   }
--- a/stand_ins/worker_model.hpp
+++ b/stand_ins/worker_model.hpp
@@ -24,7 +24,7 @@
 // What workers share.
 struct WorkerContext {
   Rules& rules;
-  WorkerTerms terms;
+  WorkerTimings timings;
   std::function<double(const JobSpec&)> fetch_s;  // how long the image of such a job takes to come, drawn anew
 };
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -92,7 +92,7 @@
   for (const auto& h : heuristic_table()) {
     for (const auto& w : h.weights) {
       std::ostringstream row;
-      row << "| `" << w.property << "` | " << defaults.*w.value << " | " << h.name << ": " << h.what << " |\n";
+      row << "| `" << w.property << "` | " << defaults.*w.value << " | " << h.name << ": " << h.description << " |\n";
       EXPECT_NE(std::string::npos, readme.str().find(row.str())) << "README lacks: " << row.str();
       EXPECT_NE(std::string::npos, heuristics_help().find(w.property));
       Policy p;
@@ -106,12 +106,12 @@
 // The limits of later may name other fields than those of today's pages, any of them, or none.
 TEST(settings, limits_to_come_are_checked_where_they_stand) {
   auto v = good();
-  EXPECT_FALSE(parse_settings(v.dump()).state_next);
+  EXPECT_FALSE(parse_settings(v.dump()).upcoming_state_limits);
   v["facts"]["state"]["next"] = {{"value_kb", 2}, {"colour", "blue"}, {"txn_ops", nullptr}};
   const auto s = parse_settings(v.dump());
-  ASSERT_TRUE(s.state_next);
-  EXPECT_EQ(2048U, s.state_next->value_bytes);
-  EXPECT_FALSE(s.state_next->txn_ops);
+  ASSERT_TRUE(s.upcoming_state_limits);
+  EXPECT_EQ(2048U, s.upcoming_state_limits->value_bytes);
+  EXPECT_FALSE(s.upcoming_state_limits->txn_ops);
   for (const auto& absurd : {R"({"value_kb":0})", R"({"txn_ops":1})", R"({"write_rps":"x"})", "[]", "7"}) {
     v["facts"]["state"]["next"] = nlohmann::json::parse(absurd);
     EXPECT_THROW(parse_settings(v.dump()), SettingsError) << absurd;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -17,7 +17,7 @@
 using nlohmann::json;
 using region::BusyRegion;
 using region::Region;
-using Ask = wire::ConfigurationRequest::Ask;
+using Action = wire::ConfigurationRequest::Action;
 
 Time at(double s) { return Time{seconds(s)}; }
 
@@ -32,7 +32,7 @@
 
 std::string error_of(const json& document) {
   try {
-    config::configuration_of(ConfigurationVersion{1}, document, settings(), Policy{});
+    config::resolve_configuration(ConfigurationVersion{1}, document, settings(), Policy{});
   } catch (const config::SettingsError& e) {
     return e.what();
   }
@@ -58,34 +58,34 @@
 
 TEST(configuration, a_patch_changes_what_it_names) {
   const json none = json::object();
-  const json lowered = config::patched(none, {{"teams", {{"red", {{"gpus_max", 40}}}}}}, settings());
-  const auto c = config::configuration_of(ConfigurationVersion{1}, lowered, settings(), Policy{});
+  const json lowered = config::apply_patch(none, {{"teams", {{"red", {{"gpus_max", 40}}}}}}, settings());
+  const auto c = config::resolve_configuration(ConfigurationVersion{1}, lowered, settings(), Policy{});
   ASSERT_EQ(2U, c.teams.size()) << "the settings' other team stays";
   const auto red = std::ranges::find(c.teams, "red", &Team::name);
   EXPECT_EQ(40, red->limit.gpus);
   EXPECT_EQ(16, red->guarantee.gpus);
-  const json gone = config::patched(lowered, {{"teams", {{"blue", nullptr}}}}, settings());
-  EXPECT_EQ(1U, config::configuration_of(ConfigurationVersion{2}, gone, settings(), Policy{}).teams.size());
-  const json back = config::patched(gone, {{"teams", nullptr}}, settings());
+  const json gone = config::apply_patch(lowered, {{"teams", {{"blue", nullptr}}}}, settings());
+  EXPECT_EQ(1U, config::resolve_configuration(ConfigurationVersion{2}, gone, settings(), Policy{}).teams.size());
+  const json back = config::apply_patch(gone, {{"teams", nullptr}}, settings());
   EXPECT_EQ(none, back) << "the settings' teams hold again";
 }
 
 RC_GTEST_PROP(configuration, rows_and_requests_are_read_as_they_were_written, ()) {
   const auto number = [] { return ConfigurationVersion{*rc::gen::inRange<std::uint64_t>(1, 1'000'000)}; };
   wire::ConfigurationRow row{number(), {{"teams", {{"red", {{"gpus", 1}}}}}}, *rc::gen::string<std::string>(), {}};
-  row.mark = std::to_string(*rc::gen::arbitrary<int>());
+  row.transaction_id = std::to_string(*rc::gen::arbitrary<int>());
   row.recorded = {number(), number()};
   const auto read = wire::decode_configuration(wire::encode_configuration(row));
   RC_ASSERT(read.has_value());
   RC_ASSERT(read->version == row.version && read->document == row.document && read->recorded == row.recorded);
   wire::ConfigurationRequest request;
-  request.ask = *rc::gen::element(Ask::get, Ask::apply, Ask::history, Ask::follow);
+  request.action = *rc::gen::element(Action::get, Action::apply, Action::history, Action::follow);
   request.patch = {{"properties", json::object()}};
   if (*rc::gen::arbitrary<bool>()) request.expected = number();
   request.dry_run = *rc::gen::arbitrary<bool>();
   const auto asked = wire::decode_configuration_request(wire::encode_configuration_request(request));
   RC_ASSERT(asked.has_value());
-  RC_ASSERT(asked->ask == request.ask && asked->expected == request.expected && asked->patch == request.patch);
+  RC_ASSERT(asked->action == request.action && asked->expected == request.expected && asked->patch == request.patch);
 }
 
 TEST(configuration, keys_of_changes_stand_in_their_order) {
@@ -109,7 +109,7 @@
   EXPECT_NE(std::string::npos, told.find("'somewhere'"));
   command.node = "127.0.0.1:1";
   EXPECT_EQ(service::CommandExit::uncertain, run(command, told)) << "nobody listens there";
-  command.request.ask = Ask::apply;
+  command.request.action = Action::apply;
   command.file = "/nowhere/change.json";
   EXPECT_EQ(service::CommandExit::bad_input, run(command, told));
   EXPECT_NE(std::string::npos, told.find("/nowhere/change.json"));
@@ -120,17 +120,17 @@
 TEST(configuration, nothing_is_decided_by_one_that_may_be_outdated) {
   ConfigurationValidity v;
   EXPECT_FALSE(v.may_decide(at(1))) << "not read yet";
-  v.found_none(at(1), false);
+  v.on_none_found(at(1), false);
   EXPECT_FALSE(v.may_decide(at(1))) << "one may come unseen";
-  v.found_none(at(2), true);
+  v.on_none_found(at(2), true);
   EXPECT_TRUE(v.may_decide(at(1000))) << "none can come without this node's word";
-  v.follow();
+  v.start_following();
   EXPECT_FALSE(v.may_decide(at(1000)));
-  v.found(at(1000));
+  v.on_version_confirmed(at(1000));
   EXPECT_TRUE(v.may_decide(at(1004.9)));
   EXPECT_FALSE(v.may_decide(at(1005.1)));
-  v.found_none(at(1010), true);
-  EXPECT_TRUE(v.follows()) << "once followed, always";
+  v.on_none_found(at(1010), true);
+  EXPECT_TRUE(v.is_following()) << "once followed, always";
   EXPECT_EQ(ConfigurationState::followed, v.state());
 }
 
@@ -138,10 +138,10 @@
 
 wire::ConfigurationRequest change(json patch, std::optional<std::uint64_t> expected = {}) {
   wire::ConfigurationRequest r;
-  r.ask = Ask::apply;
+  r.action = Action::apply;
   r.patch = std::move(patch);
   if (expected) r.expected = ConfigurationVersion{*expected};
-  r.by = "operator";
+  r.author = "operator";
   return r;
 }
 
@@ -211,7 +211,7 @@
                       seconds(3));
   r.configure_later(busy.old_leader, change(red(900)));
   r.run(0.5);
-  ASSERT_TRUE(r.context(other).validity.follows()) << "its word was given";
+  ASSERT_TRUE(r.context(other).validity.is_following()) << "its word was given";
   r.kill(other);
   r.start(other);
   r.run(8);
@@ -362,7 +362,7 @@
   }
   EXPECT_TRUE(r.run_until(8, [&] { return all_have(r, 16); })) << "fifteen more, none lost, none twice";
   wire::ConfigurationRequest history;
-  history.ask = Ask::history;
+  history.action = Action::history;
   const auto told = json::parse(r.configure(busy.old_leader, history)->body).at("changes");
   ASSERT_EQ(16U, told.size());
   for (std::size_t i = 0; i < told.size(); ++i) EXPECT_EQ(16 - i, told[i].at("version"));
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -34,7 +34,7 @@
   for (const auto& [what, which] : steps) {
     const std::uint32_t index = which % 12;
     if (what % 3 == 0) {
-      if (const auto next = job.next_pending()) job.take(*next, MachineId{"m"});
+      if (const auto next = job.next_pending()) job.assign(*next, MachineId{"m"});
     } else if (job.placed.contains(index)) {
       if (what % 3 == 1) {
         job.return_to_pending(index);
@@ -52,7 +52,7 @@
   Placement p{TaskId{JobId{"job-1"}, 0}, Attempt{1}, Generation{1}, Time{}};
   for (const auto s : states) {
     const auto before = p.state();
-    const bool moved = p.enter(static_cast<TaskState>(s % 7), Time{});
+    const bool moved = p.transition_to(static_cast<TaskState>(s % 7), Time{});
     RC_ASSERT(p.state() >= before);
     RC_ASSERT(moved == (p.state() == static_cast<TaskState>(s % 7)));
   }
@@ -61,11 +61,11 @@
 TEST(machine, once_releasing_never_serves_again) {
   Machine m{MachineId{"i-1"}};
   m.has_reported = true;
-  EXPECT_TRUE(m.enter(MachinePhase::up, Time{}));
-  EXPECT_TRUE(m.takes_starts());
-  EXPECT_TRUE(m.enter(MachinePhase::releasing, Time{}));
-  EXPECT_FALSE(m.enter(MachinePhase::up, Time{}));
-  EXPECT_FALSE(m.takes_starts());
+  EXPECT_TRUE(m.transition_to(MachinePhase::up, Time{}));
+  EXPECT_TRUE(m.accepts_starts());
+  EXPECT_TRUE(m.transition_to(MachinePhase::releasing, Time{}));
+  EXPECT_FALSE(m.transition_to(MachinePhase::up, Time{}));
+  EXPECT_FALSE(m.accepts_starts());
 }
 
 RC_GTEST_PROP(machine, image_cache_keeps_the_most_recent_that_fit, (const std::vector<std::uint8_t>& uses)) {
@@ -106,8 +106,8 @@
     early.spec.deadline_s = 1000;
     late.spec.deadline_s = 210;  // Extime is 200: nearly late
     for (auto* j : {&early, &late}) j->reset_urgency();
-    problem.add({&one, &type, type.room, 10, Priority::best_effort});
-    problem.add({&two, &type, type.room, 10, Priority::best_effort});
+    problem.add({&one, &type, type.capacity, 10, Priority::best_effort});
+    problem.add({&two, &type, type.capacity, 10, Priority::best_effort});
   }
 };
 
@@ -200,7 +200,7 @@
   const Time now{seconds(100)};
   for (int i = 0; i < guests; ++i) q.add(row_of(i), now - seconds(50), WritePriority::best_effort);
   for (int i = 0; i < others; ++i) q.add(row_of(1000 + i), now, WritePriority::foreground);
-  const auto taken = q.take(most, true, now);
+  const auto taken = q.pop_due(most, true, now);
   const auto n = static_cast<std::size_t>(
       std::ranges::count_if(taken, [](const RowKey& k) { return k.id.size() == row_of(1000).id.size(); }));
   const auto all = static_cast<std::size_t>(guests + others);
@@ -225,13 +225,13 @@
       const auto [it, fresh] = wanted.emplace(key, due);
       if (!fresh) it->second = std::min(it->second, due);
     } else if (step % 3 == 1) {
-      for (const auto& k : q.take(3, true, now)) {
+      for (const auto& k : q.pop_due(3, true, now)) {
         RC_ASSERT(wanted.contains(k) && wanted.at(k) <= now);
         RC_ASSERT(under_way.insert(k).second);
         wanted.erase(k);
       }
     } else {
-      q.done(key);
+      q.finish_write(key);
       under_way.erase(key);
     }
     RC_ASSERT(q.contains(key) == (wanted.contains(key) || under_way.contains(key)));
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -19,7 +19,7 @@
   }
   static Scheduler::Options options() {
     Scheduler::Options out;
-    out.terms = {3, 19, 50, 4, 39};
+    out.timings = {3, 19, 50, 4, 39};
     out.teams = {{"red", {0, 4, 0}, {0, 40, 0}}, {"wide", {}, {0, 1e6, 0}}};
     out.token = FencingToken{50};
     return out;
@@ -77,12 +77,12 @@
   DependencyFixture fixture;
   fixture.add(1, {});
   fixture.add(2, {1});
-  EXPECT_EQ(JobPhase::waiting, fixture.phase(2));
+  EXPECT_EQ(JobPhase::blocked, fixture.phase(2));
   EXPECT_EQ(JobPhase::pending, fixture.scheduler.status(DependencyFixture::id(2))->phase);
   fixture.run(1);
   EXPECT_EQ(JobPhase::done, fixture.phase(1));
   fixture.scheduler.run_cycle(fixture.now);
-  EXPECT_EQ(JobPhase::waiting, fixture.phase(2)) << "in memory only: a successor would not know";
+  EXPECT_EQ(JobPhase::blocked, fixture.phase(2)) << "in memory only: a successor would not know";
   EXPECT_TRUE(fixture.scheduler.find_job(DependencyFixture::id(2))->placed.empty());
   fixture.store_all();
   EXPECT_EQ(JobPhase::pending, fixture.phase(2));
@@ -105,7 +105,7 @@
   fixture.add(2, {1}, 4);  // with it, nothing after it would fit into the guarantee of 4
   fixture.add(3, {});
   fixture.scheduler.run_cycle(fixture.now);
-  EXPECT_EQ(2U, fixture.scheduler.last_cycle().jobs);
+  EXPECT_EQ(2U, fixture.scheduler.last_cycle_size().jobs);
   const auto& placed = fixture.scheduler.machines().at(MachineId{"i-1"}).placements;
   EXPECT_TRUE(placed.front().task.job == DependencyFixture::id(9) && placed.front().stop_requested);
 }
@@ -122,7 +122,7 @@
   const auto first = fixture.take();
   ASSERT_EQ(1U, first.size());
   EXPECT_EQ(DependencyFixture::id(1), first[0].final_job->id);
-  EXPECT_EQ(JobPhase::waiting, fixture.phase(2));
+  EXPECT_EQ(JobPhase::blocked, fixture.phase(2));
   fixture.store(first);
   EXPECT_FALSE(fixture.scheduler.is_cascade_stored(DependencyFixture::id(1)));
   EXPECT_FALSE(fixture.scheduler.status(DependencyFixture::id(3)))
@@ -150,11 +150,11 @@
   EXPECT_EQ((std::vector{DependencyFixture::id(1), DependencyFixture::id(2)}), fixture.scheduler.take_lookups());
   EXPECT_TRUE(fixture.scheduler.take_lookups().empty());
   EXPECT_FALSE(fixture.scheduler.status(DependencyFixture::id(3))) << "one of them may be cancelled";
-  fixture.scheduler.on_end_looked_up(DependencyFixture::id(1), JobPhase::done, fixture.now);
+  fixture.scheduler.on_dependency_end_found(DependencyFixture::id(1), JobPhase::done, fixture.now);
   fixture.scheduler.retry_lookup(DependencyFixture::id(2));
   EXPECT_EQ(std::vector{DependencyFixture::id(2)}, fixture.scheduler.take_lookups());
-  EXPECT_EQ(JobPhase::waiting, fixture.phase(3));
-  fixture.scheduler.on_end_looked_up(DependencyFixture::id(2), JobPhase::done, fixture.now);
+  EXPECT_EQ(JobPhase::blocked, fixture.phase(3));
+  fixture.scheduler.on_dependency_end_found(DependencyFixture::id(2), JobPhase::done, fixture.now);
   EXPECT_EQ(JobPhase::pending, fixture.phase(3));
 }
 
@@ -163,7 +163,7 @@
   fixture.add(2, {1});
   fixture.add(3, {2});
   (void)fixture.scheduler.take_lookups();
-  fixture.scheduler.on_end_looked_up(DependencyFixture::id(1), JobPhase::cancelled, fixture.now);
+  fixture.scheduler.on_dependency_end_found(DependencyFixture::id(1), JobPhase::cancelled, fixture.now);
   fixture.store_all();
   EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(2)));
   EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(3)));
@@ -236,7 +236,7 @@
   next.scheduler.finish_load(next.now);
   for (int i = 0; i < 3; ++i) {
     for (const auto& id : next.scheduler.take_lookups())
-      next.scheduler.on_end_looked_up(id, next.ends.at(id), next.now);
+      next.scheduler.on_dependency_end_found(id, next.ends.at(id), next.now);
     next.store_all();
   }
   for (int n = 0; n < count; ++n) {
--- a/tests/downlink_health_test.cpp
+++ b/tests/downlink_health_test.cpp
@@ -55,11 +55,11 @@
 
 TEST(downlink_health, probes_are_paced_and_sent_only_to_suspected_machines) {
   DownlinkHealth downlink;
-  EXPECT_FALSE(downlink.takes_probe(Time{seconds(1)}));
+  EXPECT_FALSE(downlink.claim_probe(Time{seconds(1)}));
   downlink.on_delivery_missed(Time{seconds(2)});
-  EXPECT_TRUE(downlink.takes_probe(Time{seconds(2)}));
-  EXPECT_FALSE(downlink.takes_probe(Time{seconds(3)}));
-  EXPECT_TRUE(downlink.takes_probe(Time{seconds(7)}));
+  EXPECT_TRUE(downlink.claim_probe(Time{seconds(2)}));
+  EXPECT_FALSE(downlink.claim_probe(Time{seconds(3)}));
+  EXPECT_TRUE(downlink.claim_probe(Time{seconds(7)}));
 }
 
 // One scheduler, two machines of which the first may be deaf; answers carry orders, commands get none.
@@ -140,10 +140,10 @@
   }
   static Scheduler::Options options() {
     Scheduler::Options out;
-    out.terms = {2, 14, 40, 4, 34};
+    out.timings = {2, 14, 40, 4, 34};
     out.teams = {{"red", {8, 0, 0}, {1e6, 0, 0}}};
     out.token = FencingToken{50};
-    out.old_leader_until = Time{seconds(1000)};
+    out.previous_leader_valid_until = Time{seconds(1000)};
     out.policy.direct_starts = false;
     return out;
   }
@@ -157,7 +157,7 @@
     auto r = report_of(id, HeartbeatSequence{++m.sequence}, Incarnation{m.incarnation}, FencingToken{m.token});
     r.tasks = m.tasks;
     const auto commands = scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
-    if (scheduler_.must_not_be_answered(r.machine)) return;
+    if (scheduler_.must_withhold_response(r.machine)) return;
     scheduler_.on_heartbeat_answered(r.machine, now_);
     if (!downlink_works) return;
     m.token = 50;
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -140,7 +140,7 @@
   row.size = 10;
   row.team = "red";
   row.need = {1, 1, 1};
-  row.failed = 3;
+  row.failed_machines = 3;
   fixture.scheduler.load_tasks(row, fixture.now);
   fixture.scheduler.finish_load(fixture.now);
   EXPECT_TRUE(fixture.scheduler.find_job(JobId{"job-1"})->suspect);
--- a/tests/failure_combinations_test.cpp
+++ b/tests/failure_combinations_test.cpp
@@ -91,7 +91,7 @@
   region::RegionOptions without_relay;
   without_relay.relay = false;
   region::RegionOptions long_leases;
-  long_leases.terms = {2, 19, 30, 3, 25};  // leaves D about 2 s
+  long_leases.timings = {2, 19, 30, 3, 25};  // leaves D about 2 s
   for (const auto& options : {region::RegionOptions{}, without_relay, long_leases}) {
     for (const auto& gap : {cut, brief, again, frozen, replaced}) play_gap(7, options, gap);
   }
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -64,8 +64,8 @@
   EXPECT_EQ(Attempt{8}, tasks->placed[1].attempt);
   EXPECT_EQ(JobPhase::cancelled, decode_final(JobId{"job-000412"}, json::parse(final_row))->phase);
   EXPECT_EQ(Incarnation{2}, decode_machines("m/4", json::parse(machines_row)).at(0).incarnation);
-  EXPECT_TRUE(asks_to_cancel(json::parse(cancel_note)));
-  EXPECT_EQ(12U, decode_reach(json::parse(reach_note)));
+  EXPECT_TRUE(requests_cancellation(json::parse(cancel_note)));
+  EXPECT_EQ(12U, decode_stranded_workers(json::parse(reach_note)));
   EXPECT_EQ("stall-1", decode_leader(json::parse(leader_row)).node);
   EXPECT_EQ(seconds(16), decode_leadership_record(json::parse(leadership_record_row)));
 }
@@ -81,7 +81,7 @@
   EXPECT_EQ("p/job-000412/2", key_of({RowKind::tasks_v1, "job-000412", 2}));
   EXPECT_EQ(final_row, encode_final({JobId{"job-000412"}, JobPhase::cancelled, 16, 3}).dump());
   EXPECT_EQ(machines_row, encode_machines(decode_machines("m/4", json::parse(machines_row))).dump());
-  EXPECT_EQ(cancel_note, encode_note("stall-1", true).dump());
+  EXPECT_EQ(cancel_note, encode_inbox_entry("stall-1", true).dump());
 }
 
 TEST(format_compatibility, frames_are_those_of_the_previous_version) {
@@ -111,7 +111,7 @@
   RC_ASSERT(!old_version_runs(row));
   const auto back = decode_job_row(json::parse(row.dump()), Time{}, 0);
   RC_ASSERT(back && back->dependent && back->spec.dependencies == job.spec.dependencies);
-  RC_ASSERT(!old_version_runs(encode_chunk_names({"7", 3})));
+  RC_ASSERT(!old_version_runs(encode_chunk_manifest({"7", 3})));
   RC_ASSERT(job_key(job.spec.id, true).substr(0, 2) != "j/");
 }
 
@@ -143,7 +143,7 @@
   for (const auto& p : chunks) RC_ASSERT(p.dump().size() <= most);
   const auto back = join_chunks(chunks);
   RC_ASSERT(list(back["chained"], "awaits").size() == 1500U);
-  RC_ASSERT(decode_chunk_names(encode_chunk_names({"7", chunks.size()}))->count == chunks.size());
+  RC_ASSERT(decode_chunk_manifest(encode_chunk_manifest({"7", chunks.size()}))->count == chunks.size());
   RC_ASSERT(join_chunks({chunks.begin(), chunks.end() - 1}).is_null());
 }
 
@@ -166,7 +166,7 @@
     return JobId{out + "0"};
   };
   for (const auto a : numbers) {
-    const auto from = just_before_final(id(a));
+    const auto from = final_key_cursor_before(id(a));
     RC_ASSERT(from < final_key(id(a)));
     for (const auto b : numbers) RC_ASSERT((final_key(id(b)) > from) == (final_key(id(b)) >= final_key(id(a))));
   }
--- a/tests/heartbeat_relay_test.cpp
+++ b/tests/heartbeat_relay_test.cpp
@@ -158,7 +158,7 @@
 std::string encoded(std::vector<Heartbeat> reports) {
   wire::HeartbeatBatch batch;
   batch.sender.node = "node";
-  batch.sender.room = 9;
+  batch.sender.capacity = 9;
   batch.heartbeats = std::move(reports);
   return wire::encode_batch(batch);
 }
@@ -191,7 +191,7 @@
     const auto bytes = encoded(reports);
     const auto back = wire::decode_batch(bytes);
     RC_ASSERT(back.has_value());
-    RC_ASSERT(back->sender.room == 9U);
+    RC_ASSERT(back->sender.capacity == 9U);
     RC_ASSERT(back->heartbeats.size() == reports.size());
     std::size_t bound = 64;
     for (std::size_t i = 0; i < reports.size(); ++i) {
@@ -239,7 +239,7 @@
   EXPECT_EQ(4U, out->responses[0].commands[0].task.index);
   EXPECT_EQ(HeartbeatResponse::Kind::released, out->responses[1].kind);
   ASSERT_EQ(1U, out->nodes.size());
-  EXPECT_EQ(2U, out->nodes[0].room);
+  EXPECT_EQ(2U, out->nodes[0].capacity);
   Heartbeat r;
   r.machine = MachineId{"i-1"};
   r.tasks.push_back({TaskId{JobId{"job-1"}, 0}, Attempt{1}, TaskState::sent, ExitCause::none, false});
@@ -295,13 +295,13 @@
     co_return reply;
   }
   void lead(std::uint64_t token) {
-    ctx.leadership.acquired(FencingToken{token}, ctx.loop.refresh());
+    ctx.leadership.acquired(FencingToken{token}, ctx.loop.update_time());
     Scheduler::Options options;
-    options.terms = ctx.settings.workers;
+    options.timings = ctx.settings.workers;
     options.token = FencingToken{token};
     ctx.scheduler = std::make_unique<Scheduler>(options, [](const std::string&) {});
     ctx.leadership.loaded(ctx.loop.now());
-    ctx.lease_checked_at = ctx.loop.now();
+    ctx.last_renewal_sent_at = ctx.loop.now();
     ctx.leader = ctx.settings.node;
   }
 };
@@ -327,7 +327,7 @@
   rt::HttpResponse answer_of(std::string body) {
     std::optional<rt::HttpResponse> out;
     rt::spawn(ask(std::move(body), out));
-    const Time until = loop.refresh() + seconds(30);
+    const Time until = loop.update_time() + seconds(30);
     while (!out && loop.now() < until) loop.step();
     return out.value_or(rt::HttpResponse{0, "", {}, false});
   }
@@ -340,7 +340,7 @@
   std::vector<std::optional<rt::HttpResponse>> out(150);
   for (int i = 0; i < 150; ++i) rt::spawn(t.ask(RelayPair::report(i, 1, 0), out[static_cast<std::size_t>(i)]));
   const auto missing = [&] { return std::ranges::any_of(out, [](const auto& r) { return !r.has_value(); }); };
-  const Time until = t.loop.refresh() + seconds(30);
+  const Time until = t.loop.update_time() + seconds(30);
   while (missing() && t.loop.now() < until) t.loop.step();
   for (const auto& r : out) {
     ASSERT_TRUE(r.has_value());
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -29,7 +29,7 @@
     const auto piece = std::string_view{bytes}.substr(pos, step);
     pos += parser.feed(piece);
     if (parser.complete()) {
-      const auto m = parser.take();
+      const auto m = parser.take_message();
       out.bodies.push_back(m.method + " " + m.target + " " + m.body);
     }
   }
--- a/tests/key_comparison_test.cpp
+++ b/tests/key_comparison_test.cpp
@@ -1,11 +1,11 @@
 // A transaction that only compares asks for the keys of many jobs at once; a conflict names those that exist.
 //
-// What happened: `wire::parse_failed` looped over `list(parse(body), "failed")`. `list` returns a reference into the
-// value that `parse` made, and of a range-for only the outermost temporary lives on: the value was gone before the
+// What happened: `wire::parse_failed_keys` looped over `list(parse(body), "failed")`. `list` returns a reference into
+// the value that `parse` made, and of a range-for only the outermost temporary lives on: the value was gone before the
 // first key was read. No key came back, so that `StoreClient::find_existing` reported that none of the keys exists, and
 // each poll and each dependency was read row by row from a store that gives few requests a second. What showed it:
 // `stored_bytes.keys_of_failed_conditions_are_read` gets `{}` in builds with and without optimisation, and
-// AddressSanitizer names `heap-use-after-free` in `parse_failed`.
+// AddressSanitizer names `heap-use-after-free` in `parse_failed_keys`.
 //
 // An empty result also hid that "no key" had two meanings: none exists, and an answer that nobody can read.
 #include <gtest/gtest.h>
@@ -65,7 +65,7 @@
   KeyComparison find(std::vector<std::string> keys) {
     std::optional<KeyComparison> out;
     rt::spawn(ask(std::move(keys), out));
-    const Time until = loop.refresh() + seconds(20);
+    const Time until = loop.update_time() + seconds(20);
     while (!out && loop.now() < until) loop.step();
     return out.value_or(KeyComparison{});
   }
@@ -123,7 +123,7 @@
     ComparedStore s;
     s.canned = rt::HttpResponse{409, body, {}, false};
     const KeyComparison found = s.find({"j/job-1", "f/job-1"});
-    EXPECT_EQ(Outcome::not_understood, found.outcome);
+    EXPECT_EQ(Outcome::unreadable_conflict, found.outcome);
     EXPECT_EQ(Keys{}, found.existing);
     const std::string log = s.log.str();
     EXPECT_EQ(1, std::ranges::count(log, '\n')) << log;
--- a/tests/leader_reachability_test.cpp
+++ b/tests/leader_reachability_test.cpp
@@ -6,7 +6,7 @@
 namespace martenwall {
 namespace {
 
-const WorkerTerms terms{3, 19, 50, 4, 39};
+const WorkerTimings timings{3, 19, 50, 4, 39};
 
 // Asks each half second what the leader makes of it; returns when it gives up, if it does.
 std::optional<Time> find_step_down(LeaderReachability& reachability, Time from, double long_s, std::size_t reporting,
@@ -21,13 +21,13 @@
 // On the operations days the leader lost the workers' side alone: it renewed its lease and held the fleet
 // until every worker's lease had ended.
 TEST(leader_reachability, an_unreachable_leader_steps_down_well_before_lease_expiry) {
-  LeaderReachability reachability{terms};
+  LeaderReachability reachability{timings};
   reachability.on_leadership_began(Time{seconds(100)});
   const Time cut{seconds(200)};
   EXPECT_FALSE(find_step_down(reachability, cut - seconds(20), 20, 300, 0));
   const auto stepped_down = find_step_down(reachability, cut, 20, 0, 300);
   ASSERT_TRUE(stepped_down);
-  EXPECT_LT(*stepped_down - cut, seconds(terms.lease_s / 3));
+  EXPECT_LT(*stepped_down - cut, seconds(timings.lease_s / 3));
   EXPECT_EQ(LeaderReachabilityState::unreachable, reachability.state());
   EXPECT_GT(reachability.campaign_delay(*stepped_down), Duration{0});
   reachability.on_heartbeat(*stepped_down + seconds(1));
@@ -36,7 +36,7 @@
 
 // A quiet fleet, a wave of lost machines or a cut that all nodes share leave no worker at another node.
 RC_GTEST_PROP(leader_reachability, silence_alone_ends_no_leadership, (const std::vector<std::uint8_t>& reporting)) {
-  LeaderReachability reachability{terms};
+  LeaderReachability reachability{timings};
   Time now{seconds(100)};
   reachability.on_leadership_began(now);
   for (const auto n : reporting) {
@@ -51,8 +51,8 @@
   const auto here = *rc::gen::inRange<std::size_t>(0, 1500);
   const auto there = *rc::gen::inRange<std::size_t>(0, 1500);
   const Time start{seconds(100)};
-  LeaderReachability a{terms};
-  LeaderReachability b{terms};
+  LeaderReachability a{timings};
+  LeaderReachability b{timings};
   a.on_leadership_began(start);
   b.on_leadership_began(start);
   const bool a_gives_up = find_step_down(a, start, 60, here, there).has_value();
@@ -61,7 +61,7 @@
 }
 
 TEST(leader_reachability, a_new_leader_is_given_time_to_be_found) {
-  LeaderReachability reachability{terms};
+  LeaderReachability reachability{timings};
   const Time start{seconds(100)};
   reachability.on_leadership_began(start);
   EXPECT_FALSE(find_step_down(reachability, start, 5, 0, 300));
@@ -69,7 +69,7 @@
 }
 
 TEST(leader_reachability, an_old_report_of_stranded_workers_does_not_count) {
-  LeaderReachability reachability{terms};
+  LeaderReachability reachability{timings};
   const Time start{seconds(100)};
   reachability.on_leadership_began(start);
   reachability.on_stranded_report("other", 300, start);
@@ -78,7 +78,7 @@
 
 // A note of stranded workers that the store carried out late, long after it was true.
 TEST(leader_reachability, one_report_of_stranded_workers_alone_ends_no_leadership) {
-  LeaderReachability reachability{terms};
+  LeaderReachability reachability{timings};
   const Time start{seconds(100)};
   reachability.on_leadership_began(start);
   reachability.on_stranded_report("other", 300, start + seconds(20));
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -10,8 +10,8 @@
 // before it was sent; a node may act only while that has surely not happened.
 RC_GTEST_PROP(leadership, acts_only_inside_its_bounds, (const std::vector<std::pair<std::uint16_t, bool>>& steps)) {
   const Policy policy;
-  const WorkerTerms terms{3, 19, 50, 4, 39};
-  Leadership l{policy, terms};
+  const WorkerTimings timings{3, 19, 50, 4, 39};
+  Leadership l{policy, timings};
   Time now{seconds(50)};
   Time last_sent = now;
   l.acquired(FencingToken{5}, now);
@@ -40,8 +40,8 @@
   const auto lease = *rc::gen::inRange(5, 60);
   const auto cancel = lease + *rc::gen::inRange(1, 60);
   const Policy policy;
-  const Leadership l{policy, WorkerTerms{3, 1.0 * lease, 50, 4, 1.0 * cancel}};
-  const auto total = policy.lease_ttl + l.grace() + seconds(lease) + policy.margin;
+  const Leadership l{policy, WorkerTimings{3, 1.0 * lease, 50, 4, 1.0 * cancel}};
+  const auto total = policy.lease_ttl + l.grace() + seconds(lease) + policy.lease_margin;
   RC_ASSERT(l.grace() == Duration{0} || total < seconds(cancel));
 }
 
--- a/tests/matcher_test.cpp
+++ b/tests/matcher_test.cpp
@@ -47,7 +47,7 @@
     m.zone = i % 2 == 0 ? "a" : "b";
     m.spot = *rc::gen::inRange(0, 3) == 0;
     if (*rc::gen::arbitrary<bool>()) m.touch_image(ImageId{0}, 4, 50);
-    Resources free = type.room;
+    Resources free = type.capacity;
     free.gpus = *rc::gen::inRange(0, 9);
     problem.add({&m, &type, free, static_cast<std::size_t>(*rc::gen::inRange(1, 5)), Priority::best_effort});
   }
@@ -84,8 +84,8 @@
   bool fits(std::size_t r, std::size_t c, const ZoneCounts& zones) const {
     const auto& spec = s_.problem.jobs[r].job->spec;
     const auto& col = s_.problem.machines[c];
-    return col.slots > 0 && spec.need.fits_in(col.free) && quota_usage_.room_for(spec.team, spec.need) > 0 &&
-           zone_allows(spec, zones, col.machine->zone);
+    return col.slots > 0 && spec.need.fits_in(col.free) &&
+           quota_usage_.max_additional_tasks(spec.team, spec.need) > 0 && zone_allows(spec, zones, col.machine->zone);
   }
   void take(std::size_t r, const std::vector<std::size_t>& columns) {
     for (const auto c : columns) {
@@ -100,7 +100,7 @@
   }
   void gang(std::size_t r) {
     const auto& spec = s_.problem.jobs[r].job->spec;
-    if (quota_usage_.room_for(spec.team, spec.need) < spec.tasks) return;
+    if (quota_usage_.max_additional_tasks(spec.team, spec.need) < spec.tasks) return;
     std::vector<std::size_t> best;
     double best_value = -1;
     for (const std::string zone : {"a", "b"}) {
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -49,7 +49,7 @@
   EXPECT_EQ("", record.minute_line(12)) << "a line tells of its minute only";
   // Classes are named by users: metrics must not grow with them.
   for (int i = 0; i < 500; ++i) record.submitted("class-" + std::to_string(i), "red");
-  EXPECT_EQ(load::ServiceRecord::most_pairs + 1, record.all().size());
+  EXPECT_EQ(load::ServiceRecord::max_pairs + 1, record.all().size());
 }
 
 TEST(metrics, a_minutes_line_covers_that_minute_only) {
@@ -90,7 +90,7 @@
     result = co_await client.request("127.0.0.1:" + std::to_string(port), "GET", "/metrics", "", seconds(10));
   };
   rt::spawn(ask());
-  const Time until = loop.refresh() + seconds(20);
+  const Time until = loop.update_time() + seconds(20);
   while (!result && loop.now() < until) loop.step();
   ASSERT_TRUE(result);
   EXPECT_EQ(200, result->status);
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -33,7 +33,7 @@
     co_return reply;
   }
   void run_until(PeerService::Availability wanted) {
-    const Time until = loop.refresh() + seconds(20);
+    const Time until = loop.update_time() + seconds(20);
     while (here.availability() != wanted && loop.now() < until) loop.step();
   }
 };
@@ -44,8 +44,8 @@
   rt::spawn(p.here.run_pings());
   EXPECT_EQ(PeerService::Availability::unreachable, p.here.availability());
   rt::spawn(p.other.serve());
-  p.run_until(PeerService::Availability::equally_cut_off);
-  EXPECT_EQ(PeerService::Availability::equally_cut_off, p.here.availability());
+  p.run_until(PeerService::Availability::none_reaches_store);
+  EXPECT_EQ(PeerService::Availability::none_reaches_store, p.here.availability());
   p.status = 200;
   p.run_until(PeerService::Availability::serving);
   EXPECT_EQ(PeerService::Availability::serving, p.here.availability());
@@ -80,7 +80,7 @@
   PeerService peers{ctx, [](wire::PeerRequest) { return NodePair::answer(421); }};
   CloudService here{ctx, state, peers};
   rt::spawn(here.run_types());
-  const Time until = loop.refresh() + seconds(20);
+  const Time until = loop.update_time() + seconds(20);
   while (ctx.types.empty() && loop.now() < until) loop.step();
   ASSERT_EQ(1U, ctx.types.size());
   EXPECT_EQ("g8", ctx.types[0].name);
--- a/tests/region/controllers.cpp
+++ b/tests/region/controllers.cpp
@@ -41,13 +41,13 @@
   s.state = at_port(controllers_.at(c).store_server->port());
   s.teams = {{"red", {0, 16, 0}, {0, options_.team_gpus, 0}}};
   s.objectives = {{"wait", "x", 10, 0.9, 1}};
-  s.workers = options_.terms;
+  s.workers = options_.timings;
   s.state_rps = 300;
   s.state_write_rps = std::min(120.0, options_.write_rps);
   s.state_value_bytes = 32 * 1024;
   s.state_txn_ops = 48;
   s.cloud_rps = options_.cloud_rps;
-  s.cloud_lag = seconds(1);
+  s.cloud_list_lag = seconds(1);
   s.max_connections = 400;
   return s;
 }
--- a/tests/region/links.cpp
+++ b/tests/region/links.cpp
@@ -40,7 +40,7 @@
   while (linked(a, b) && from->fd() >= 0) {
     const Time next_look = loop_.now() + look_every;
     const long n = co_await from->read_some(buffer.data(), buffer.size(), next_look);
-    if (n == 0 || (n < 0 && from->abandoned())) break;
+    if (n == 0 || (n < 0 && from->peer_closed())) break;
     if (n < 0) continue;
     if (!linked(a, b) || to->fd() < 0) break;
     const std::string_view got{buffer.data(), static_cast<std::size_t>(n)};
--- a/tests/region/region.cpp
+++ b/tests/region/region.cpp
@@ -19,9 +19,9 @@
       options_(options),
       loop_([this] { return now_; }),
       store_(loop_, seed),
-      rules_(options.terms, {{"red", {0, 16, 0}, {0, options.team_gpus, 0}}}),
+      rules_(options.timings, {{"red", {0, 16, 0}, {0, options.team_gpus, 0}}}),
       environment_{loop_,
-                   {rules_, options.terms,
+                   {rules_, options.timings,
                     [this](const JobSpec&) { return environment_.fetch_s + environment_.fetch_more_s * roll(); }},
                    {},
                    {},
@@ -39,7 +39,7 @@
     n.name = names.at(c);
     n.drift = drifts.at(c);
     n.store_server =
-        std::make_unique<rt::HttpServer>(loop_, any_port(), rt::HttpServer::Bounds{},
+        std::make_unique<rt::HttpServer>(loop_, any_port(), rt::HttpServer::Limits{},
                                          [this, c](rt::HttpMessage m) { return store_.handle(c, std::move(m)); });
     rt::spawn(n.store_server->serve());
     for (std::size_t from = 0; from < controllers_.size(); ++from) {
--- a/tests/region/region.hpp
+++ b/tests/region/region.hpp
@@ -22,7 +22,7 @@
 struct RegionOptions {
   std::size_t controllers = 3, machines = 8;
   bool relay = true;
-  WorkerTerms terms{2, 10, 30, 3, 24};
+  WorkerTimings timings{2, 10, 30, 3, 24};
   double team_gpus = 1000;
   double cloud_rps = 10;
   double boot_s = 4;
--- a/tests/region/worker.cpp
+++ b/tests/region/worker.cpp
@@ -43,7 +43,7 @@
 }
 
 rt::Task<void> Worker::send_late(std::string body) {
-  const double most = 1.5 * environment_.world.terms.lease_s;
+  const double most = 1.5 * environment_.world.timings.lease_s;
   co_await environment_.loop.sleep(seconds(2 + environment_.roll() * (most - 2)));
   const auto to = static_cast<std::size_t>(environment_.roll() * static_cast<double>(environment_.controllers.size()));
   const auto address = environment_.address(to);
@@ -63,7 +63,7 @@
     model_.reported();
     last_heartbeat_at_ = now;
     route_.next_heartbeat =
-        now + seconds(environment_.world.terms.heartbeat_interval_s * (0.75 + 0.5 * environment_.roll()));
+        now + seconds(environment_.world.timings.heartbeat_interval_s * (0.75 + 0.5 * environment_.roll()));
     const auto incarnation = model_.incarnation();
     std::string body = model_.report();
     if (environment_.roll() < environment_.late_heartbeats) {
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -21,10 +21,10 @@
   }
   static Scheduler::Options options(bool direct, Duration surplus) {
     Scheduler::Options out;
-    out.terms = {3, 19, 50, 4, 39};
+    out.timings = {3, 19, 50, 4, 39};
     out.teams = {{"red", {0, 4, 0}, {0, 8, 0}}, {"blue", {0, 4, 0}, {0, 4, 0}}, {"wide", {}, {0, 1e6, 0}}};
     out.token = FencingToken{50};
-    out.old_leader_until = Time{seconds(1000)};
+    out.previous_leader_valid_until = Time{seconds(1000)};
     out.policy.direct_starts = direct;
     out.policy.surplus_release = surplus;
     return out;
@@ -292,10 +292,10 @@
   fixture.now += seconds(30);
   for (const auto* id : {"i-1", "i-2", "i-3"}) fixture.send_heartbeat(id);
   fixture.scheduler.run_cycle(fixture.now);
-  EXPECT_TRUE(fixture.scheduler.take_scale_in(fixture.now).empty());
+  EXPECT_TRUE(fixture.scheduler.scale_in_candidates(fixture.now).empty());
   fixture.now += seconds(15);
   fixture.scheduler.run_cycle(fixture.now);
-  EXPECT_FALSE(fixture.scheduler.take_scale_in(fixture.now).empty());
+  EXPECT_FALSE(fixture.scheduler.scale_in_candidates(fixture.now).empty());
 }
 
 // Found on the grown sites: a read of the job's row that was overtaken by its end started it again.
@@ -325,7 +325,7 @@
     for (const auto* idle : {"i-2", "i-3", "i-4"}) fixture.send_heartbeat(idle);
     fixture.scheduler.run_cycle(fixture.now);
   }
-  EXPECT_EQ(1U, fixture.scheduler.take_scale_in(fixture.now).size());
+  EXPECT_EQ(1U, fixture.scheduler.scale_in_candidates(fixture.now).size());
 }
 
 TEST(load_history, keeps_what_the_load_grows_by_at_times) {
@@ -372,7 +372,7 @@
   fixture.start_one();
   const auto late = fixture.report("i-1", {SchedulerFixture::task("job-1", 0, 1, TaskState::running)});
   fixture.now += seconds(21);
-  fixture.scheduler.expire(fixture.now);
+  fixture.scheduler.expire_leases(fixture.now);
   EXPECT_EQ(0U, fixture.scheduler.find_job(JobId{"job-1"})->placed.size());
   fixture.scheduler.on_heartbeat(late, StatusSource::heartbeat, fixture.now, true);
   EXPECT_TRUE(fixture.scheduler.machines().at(MachineId{"i-1"}).placements.empty());
@@ -418,10 +418,10 @@
     fixture.send_heartbeat(names.back().c_str());
   }
   fixture.scheduler.run_cycle(fixture.now);
-  EXPECT_EQ(0U, fixture.scheduler.last_cycle().machines);  // nothing waits
+  EXPECT_EQ(0U, fixture.scheduler.last_cycle_size().machines);  // nothing waits
   fixture.job("job-1", JobKind::array, 2, 4);
   fixture.scheduler.run_cycle(fixture.now);
-  EXPECT_EQ(1500U, fixture.scheduler.last_cycle().machines);
+  EXPECT_EQ(1500U, fixture.scheduler.last_cycle_size().machines);
   EXPECT_EQ(2U, fixture.scheduler.find_job(JobId{"job-1"})->placed.size());
   for (int i = 0; i < 1498; ++i) {
     std::string id{"job-f"};
@@ -436,9 +436,9 @@
   }
   for (int i = 0; i < 20; ++i)
     fixture.scheduler.run_cycle(fixture.now);  // those that the bound on a round's matrix left over
-  EXPECT_EQ(0U, fixture.scheduler.last_cycle().machines);
-  EXPECT_EQ(40U, fixture.scheduler.last_cycle().jobs);
-  EXPECT_EQ(0U, fixture.scheduler.last_cycle().preemption_candidates);
+  EXPECT_EQ(0U, fixture.scheduler.last_cycle_size().machines);
+  EXPECT_EQ(40U, fixture.scheduler.last_cycle_size().jobs);
+  EXPECT_EQ(0U, fixture.scheduler.last_cycle_size().preemption_candidates);
 }
 
 // The rows of a wide array must stay within the size of a value, and only the parts that changed are written.
@@ -583,7 +583,7 @@
     fixture.now += seconds(0.5);
     for (const char* id : {"i-1", "i-2"}) fixture.send_heartbeat(id);
     fixture.scheduler.run_cycle(fixture.now);
-    EXPECT_TRUE(fixture.scheduler.take_scale_in(fixture.now).empty());
+    EXPECT_TRUE(fixture.scheduler.scale_in_candidates(fixture.now).empty());
   }
 }
 
--- a/tests/shortage_test.cpp
+++ b/tests/shortage_test.cpp
@@ -17,15 +17,15 @@
       : scheduler_(std::move(options), [this](const std::string& line) {
           if (line.find("fleet busy=") != std::string::npos) fleet_line_ = line;
         }) {
-    gpus_ = type.room.gpus > 0 ? 1 : 0;
+    gpus_ = type.capacity.gpus > 0 ? 1 : 0;
     scheduler_.set_types({std::move(type)});
   }
   static Scheduler::Options options(double weight) {
     Scheduler::Options out;
-    out.terms = {1, 19, 50, 4, 39};
+    out.timings = {1, 19, 50, 4, 39};
     out.teams = {{"red", {}, {0, 1e6, 0}}};
     out.token = FencingToken{50};
-    out.old_leader_until = Time{seconds(1000)};
+    out.previous_leader_valid_until = Time{seconds(1000)};
     out.policy.direct_starts = false;
     out.policy.shortage_weight = weight;
     return out;
@@ -162,7 +162,7 @@
 Scheduler::Options limited(bool leave, double begin) {
   auto options = ShortageFixture::options(40);
   options.teams = {{"red", {2, 0, 0}, {6, 0, 0}}};
-  options.aims.by_class["large"] = {150};
+  options.objectives.start_s_by_class["large"] = {150};
   options.policy.reserve_limit_headroom = leave;
   options.policy.begin_weight = begin;
   return options;
@@ -202,7 +202,7 @@
 TEST(shortage, no_machines_are_wanted_for_what_a_limit_keeps_from_starting) {
   auto options = ShortageFixture::options(40);
   options.teams = {{"red", {2, 0, 0}, {2, 0, 0}}, {"blue", {2, 0, 0}, {1e6, 0, 0}}};
-  options.aims.by_class["later"] = {150};
+  options.objectives.start_s_by_class["later"] = {150};
   ShortageFixture fixture{options, four_cpus};
   fixture.job(1, 2000, 20, 300);  // late, whatever is done
   fixture.run(2);
--- a/tests/simulation/controllers.cpp
+++ b/tests/simulation/controllers.cpp
@@ -11,10 +11,10 @@
 void World::load(Node& n) {
   Scheduler::Options options;
   options.policy = policy_;
-  options.terms = terms_;
+  options.timings = timings_;
   options.teams = teams_;
   options.token = *leader_token_;
-  options.old_leader_until = now_ + n.leadership->grace() + policy_.margin;
+  options.previous_leader_valid_until = now_ + n.leadership->grace() + policy_.lease_margin;
   options.range_rows = range_rows_allowed_;
   options.v1_row_size = 7;
   options.range_size = 5;
@@ -47,7 +47,7 @@
       if (n.life != life || n.scheduler == nullptr) return;
       const auto it = stored_jobs_.find(id);
       if (now_ < n.cut_until || now_ < n.frozen_until || it == stored_jobs_.end()) return n.scheduler->retry_lookup(id);
-      if (it->second.final) return n.scheduler->on_end_looked_up(id, it->second.job.phase, now_);
+      if (it->second.final) return n.scheduler->on_dependency_end_found(id, it->second.job.phase, now_);
       n.scheduler->add_job(it->second.job, now_);
       n.scheduler->retry_lookup(id);
     });
@@ -58,7 +58,7 @@
   ++failovers_;
   leader_token_ = FencingToken{++revision_};
   leader_lease_until_ = now_ + policy_.lease_ttl;
-  n.leadership = std::make_unique<Leadership>(policy_, terms_);
+  n.leadership = std::make_unique<Leadership>(policy_, timings_);
   n.leadership->acquired(*leader_token_, now_);
   ++n.life;
   n.flushing = 0;
@@ -85,14 +85,14 @@
     return;
   }
   if (store && now_ >= n.next_renewal) {
-    n.next_renewal = now_ + policy_.renew_every;
+    n.next_renewal = now_ + policy_.renew_interval;
     if (leader_token_ != n.leadership->token()) return step_down(n);
     leader_lease_until_ = now_ + policy_.lease_ttl;
     n.leadership->renewed(now_, now_);
   }
   n.leadership->tick(now_);
   if (!n.leadership->has_valid_lease(now_)) {
-    n.scheduler->expire(now_);
+    n.scheduler->expire_leases(now_);
     return;
   }
   if (now_ >= n.next_round) {
@@ -125,7 +125,7 @@
 }
 
 void World::scale_in(Node& n) {
-  const auto releases = n.scheduler->take_scale_in(now_);
+  const auto releases = n.scheduler->scale_in_candidates(now_);
   for (const auto& id : releases) {
     record_decision(Decision::scale_in, id.value());
     workers_.erase(id);
--- a/tests/simulation/decisions.cpp
+++ b/tests/simulation/decisions.cpp
@@ -17,7 +17,7 @@
     add(std::to_string(row.tasks->size));
     add(std::to_string(static_cast<int>(row.tasks->priority)));
     add(std::to_string(row.tasks->next_attempt));
-    add(std::to_string(row.tasks->failed));
+    add(std::to_string(row.tasks->failed_machines));
     for (const auto& [first, last] : row.tasks->done) add(std::to_string(first) + "-" + std::to_string(last));
     for (const auto& h : row.tasks->placed) {
       add(std::to_string(h.index) + "#" + std::to_string(h.attempt.value()) + "@" + h.machine.value() + h.zone);
--- a/tests/simulation/faults.cpp
+++ b/tests/simulation/faults.cpp
@@ -21,7 +21,7 @@
   for (auto& n : nodes_) {
     if (roll() < faults_.node_crash * s) {
       n.scheduler.reset();
-      n.leadership = std::make_unique<Leadership>(policy_, terms_);
+      n.leadership = std::make_unique<Leadership>(policy_, timings_);
       ++n.life;
       n.flushing = 0;
       n.cancels.clear();
--- a/tests/simulation/heartbeats.cpp
+++ b/tests/simulation/heartbeats.cpp
@@ -32,7 +32,7 @@
   if (n.scheduler != nullptr && report.token > n.leadership->token()) step_down(n);
   if (n.scheduler != nullptr && n.leadership->serves_workers(now_) && !n.scheduler->is_released(report.machine)) {
     a.commands = n.scheduler->on_heartbeat(report, StatusSource::heartbeat, now_, n.leadership->has_valid_lease(now_));
-    if (n.scheduler->must_not_be_answered(report.machine)) return {};
+    if (n.scheduler->must_withhold_response(report.machine)) return {};
     n.scheduler->on_heartbeat_answered(report.machine, now_);
     record_decision(Decision::response, report.machine, a.commands);
     a.token = n.leadership->token();
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -36,7 +36,7 @@
       const auto& spec = spec_of(key.first.job);
       used[spec.team] += spec.need.gpus;
       const auto c = reported_cancelled_.find(key.first.job);
-      if (c != reported_cancelled_.end() && now_ - c->second > seconds(terms_.cancel_s))
+      if (c != reported_cancelled_.end() && now_ - c->second > seconds(timings_.cancel_s))
         report_violation("ran_cancelled " + to_string(key.first));
     }
   }
@@ -47,7 +47,7 @@
 
 // What a leader calls active: no user was told so long ago that something it needs is cancelled.
 void World::check_cancelled_dependencies() {
-  const Duration bound = seconds(terms_.cancel_s);
+  const Duration bound = seconds(timings_.cancel_s);
   const auto cancelled_long_ago = [&](const JobId& id) {
     const auto c = reported_cancelled_.find(id);
     return c != reported_cancelled_.end() && now_ - c->second > bound;
--- a/tests/simulation/simulation.hpp
+++ b/tests/simulation/simulation.hpp
@@ -181,7 +181,7 @@
   Time now_{seconds(1000)};
   std::multimap<Time, std::function<void()>> events_;
   Policy policy_;
-  WorkerTerms terms_{3, 19, 50, 4, 39};
+  WorkerTimings timings_{3, 19, 50, 4, 39};
   std::vector<Team> teams_;
   std::vector<MachineType> types_;
   std::vector<Node> nodes_;
--- a/tests/simulation/tasks.cpp
+++ b/tests/simulation/tasks.cpp
@@ -38,12 +38,12 @@
     } else if (t.state == TaskState::saving && now_ >= t.until) {
       t.state = TaskState::ended;
       t.cause = ExitCause::stopped;
-    } else if (t.state == TaskState::waiting && now_ - t.since > seconds(terms_.gang_wait_s)) {
+    } else if (t.state == TaskState::waiting && now_ - t.since > seconds(timings_.gang_wait_s)) {
       t.state = TaskState::ended;
-      t.cause = ExitCause::alone;
+      t.cause = ExitCause::gang_incomplete;
     } else if (t.peer_lost && t.state == TaskState::running && now_ >= *t.peer_lost) {
       t.state = TaskState::ended;
-      t.cause = ExitCause::peers;
+      t.cause = ExitCause::peer_lost;
     }
   }
 }
@@ -72,7 +72,7 @@
       }
     } else if (count(TaskState::running) > 0) {
       for (auto& [id, t] : tasks) {
-        if (!t->peer_lost) t->peer_lost = now_ + seconds(terms_.gang_peer_s);
+        if (!t->peer_lost) t->peer_lost = now_ + seconds(timings_.gang_peer_s);
       }
     }
   }
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -20,7 +20,7 @@
 }
 
 void World::step_worker(Worker& w) {
-  if (now_ - w.lease_renewed_at > seconds(terms_.lease_s)) {
+  if (now_ - w.lease_renewed_at > seconds(timings_.lease_s)) {
     w.tasks.clear();
     w.incarnation = Incarnation{w.incarnation.value() + 1};
     w.lease_renewed_at = now_;
@@ -37,7 +37,7 @@
 
 void World::send_heartbeat(Worker& w) {
   w.waiting_since = now_;
-  w.next_heartbeat = now_ + seconds(between(0.75, 1.25) * terms_.heartbeat_interval_s);
+  w.next_heartbeat = now_ + seconds(between(0.75, 1.25) * timings_.heartbeat_interval_s);
   const auto no = ++w.heartbeat_no;
   const auto report = make_heartbeat(w);
   const bool held = faulty_ && roll() < faults_.delayed_heartbeat;
@@ -46,7 +46,7 @@
   at(arrives, [this, target = w.target, report, no] { receive_heartbeat(target, report, no); });
   if (!faulty_ || faults_.late_duplicate <= 0 || roll() >= faults_.late_duplicate) return;
   const auto other = random_() % nodes_.size();
-  at(now_ + seconds(between(1, 3 * terms_.lease_s)),
+  at(now_ + seconds(between(1, 3 * timings_.lease_s)),
      [this, other, report, no] { receive_heartbeat(other, report, no); });
 }
 
@@ -126,9 +126,9 @@
   for (const auto& [k, x] : w.tasks) {
     if (x.state != TaskState::ended) gpus += spec_of(k.first.job).need.gpus;
   }
-  if (busy || gpus > types_[0].room.gpus + 1e-9) {
+  if (busy || gpus > types_[0].capacity.gpus + 1e-9) {
     t.state = TaskState::ended;
-    t.cause = busy ? ExitCause::busy : ExitCause::no_room;
+    t.cause = busy ? ExitCause::busy : ExitCause::no_capacity;
   }
   w.tasks.emplace(key, t);
 }
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -8,7 +8,7 @@
   policy_.idle_release = seconds(30);
   if (faults_.shortage) {
     policy_.shortage_weight = 40;
-    policy_.unsaved_stops = true;
+    policy_.allow_unsaved_stops = true;
     policy_.reserve_limit_headroom = true;
     policy_.begin_weight = 9;
   }
@@ -16,7 +16,7 @@
   types_ = {{"big", {48, 4, 288}, 80, 0.6, 10, 3, 20, {"a", "b"}}};
   range_rows_allowed_ = faults_.range_rows_from_start;
   nodes_.resize(2);
-  for (auto& n : nodes_) n.leadership = std::make_unique<Leadership>(policy_, terms_);
+  for (auto& n : nodes_) n.leadership = std::make_unique<Leadership>(policy_, timings_);
   for (int i = 0; i < 4; ++i) {
     add_worker(i % 2 == 0 ? "a" : "b", false, Duration{0});
   }
--- a/tests/stand_ins_test.cpp
+++ b/tests/stand_ins_test.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-constexpr WorkerTerms terms{2, 10, 30, 3, 24};
+constexpr WorkerTimings timings{2, 10, 30, 3, 24};
 const JobId job{"job-000001"};
 
 Time at(double s) { return Time{seconds(100 + s)}; }
@@ -20,7 +20,7 @@
 }
 
 struct RuleChecker {
-  Rules rules{terms, {{"red", {}, {0, 4, 0}}}};
+  Rules rules{timings, {{"red", {}, {0, 4, 0}}}};
   explicit RuleChecker(const std::function<void(JobSpec&)>& change = [](JobSpec&) {}) {
     JobSpec spec;
     spec.id = job;
@@ -114,14 +114,14 @@
   j.start(0, place("i-1"));
   j.rules.jobs().at(job).cancel_asked = at(2);
   j.rules.on_phase_reported(job, "withdrawn", j.rules.on_request_sent(), at(2));
-  j.rules.tick(at(2 + terms.cancel_s));
+  j.rules.tick(at(2 + timings.cancel_s));
   EXPECT_EQ("", j.found());
-  j.rules.tick(at(2 + terms.cancel_s + 0.1));
+  j.rules.tick(at(2 + timings.cancel_s + 0.1));
   EXPECT_EQ("ran_cancelled", j.found());
   RuleChecker late;
   late.rules.jobs().at(job).cancel_asked = at(2);
   late.rules.on_phase_reported(job, "withdrawn", late.rules.on_request_sent(), at(2));
-  late.start(0, place("i-1"), 2 + terms.cancel_s + 0.1);
+  late.start(0, place("i-1"), 2 + timings.cancel_s + 0.1);
   EXPECT_EQ("ran_cancelled", late.found());
 }
 
--- a/tests/status_comparison_test.cpp
+++ b/tests/status_comparison_test.cpp
@@ -213,7 +213,7 @@
 TEST(status_comparison, a_job_in_chunks_is_known_by_its_key) {
   IsolatedNode isolated{208};
   Region& r = isolated.r;
-  r.store().write("j/job-700002", wire::encode_chunk_names({"77", 3}));
+  r.store().write("j/job-700002", wire::encode_chunk_manifest({"77", 3}));
   EXPECT_EQ(200, poll(r, isolated.node, JobId{"job-700002"}).status);
   EXPECT_EQ(0U, r.store().reads_of("c/job-700002/77/0"));
 }
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -31,7 +31,7 @@
     s.workers = {3, 19, 50, 4, 39};
     s.state_value_bytes = 8192;
     s.state_txn_ops = 24;
-    s.state_next = config::Settings::NextLimits{{}, 28.0, 2048, 8};
+    s.upcoming_state_limits = config::Settings::UpcomingLimits{{}, 28.0, 2048, 8};
     return s;
   }
   rt::Task<void> refused(TxnOutcome wanted, std::size_t& done) {
@@ -58,7 +58,7 @@
   rt::spawn(s.write(11, done));
   rt::spawn(s.write(10, done));
   for (int i = 0; i < 6; ++i) rt::spawn(s.write(1, done));
-  const Time until = s.loop.refresh() + seconds(60);
+  const Time until = s.loop.update_time() + seconds(60);
   while (done < 8 && s.loop.now() < until) s.loop.step();
   ASSERT_EQ(8U, s.sizes.size());
   EXPECT_EQ(11U, s.sizes[0]);
@@ -74,10 +74,10 @@
   std::size_t done = 0;
   EXPECT_EQ(24U, s.ctx.limits.txn_ops());
   rt::spawn(s.refused(TxnOutcome::too_large, done));
-  const Time until = s.loop.refresh() + seconds(60);
+  const Time until = s.loop.update_time() + seconds(60);
   while (done < 1 && s.loop.now() < until) s.loop.step();
   ASSERT_EQ(1U, done);
-  EXPECT_EQ(StoreLimits::Stage::lowered, s.ctx.limits.stage());
+  EXPECT_EQ(StoreLimits::Stage::lowered_limits, s.ctx.limits.stage());
   EXPECT_EQ(8U, s.ctx.limits.txn_ops());
   EXPECT_LE(s.ctx.limits.value_bytes(), 2048U);
   EXPECT_EQ(28.0, s.ctx.limits.write_rps());
@@ -86,13 +86,13 @@
 TEST(store_limits, sizes_are_respected_in_advance_and_rates_after_refusals) {
   const Store s;
   StoreLimits limits{s.settings()};
-  limits.all_nodes_read_any_size();
+  limits.use_announced_sizes();
   EXPECT_EQ(8U, limits.txn_ops());
   EXPECT_EQ(40.0, limits.write_rps());
-  EXPECT_FALSE(limits.refused_rate(Time{seconds(100)}));
-  EXPECT_FALSE(limits.refused_rate(Time{seconds(120)}));  // now and then one comes of a burst
-  EXPECT_FALSE(limits.refused_rate(Time{seconds(121)}));
-  EXPECT_TRUE(limits.refused_rate(Time{seconds(122)}));
+  EXPECT_FALSE(limits.on_rate_refused(Time{seconds(100)}));
+  EXPECT_FALSE(limits.on_rate_refused(Time{seconds(120)}));  // now and then one comes of a burst
+  EXPECT_FALSE(limits.on_rate_refused(Time{seconds(121)}));
+  EXPECT_TRUE(limits.on_rate_refused(Time{seconds(122)}));
   EXPECT_EQ(28.0, limits.write_rps());
 }
 
@@ -100,12 +100,12 @@
 TEST(store_limits, limits_that_were_not_announced_are_found_out) {
   const Store s;
   auto settings = s.settings();
-  settings.state_next.reset();
+  settings.upcoming_state_limits.reset();
   StoreLimits limits{settings};
-  EXPECT_TRUE(limits.refused_size());
+  EXPECT_TRUE(limits.on_size_refused());
   EXPECT_EQ(12U, limits.txn_ops());
-  for (int i = 0; i < 10; ++i) (void)limits.refused_size();
-  EXPECT_FALSE(limits.refused_size());
+  for (int i = 0; i < 10; ++i) (void)limits.on_size_refused();
+  EXPECT_FALSE(limits.on_size_refused());
   EXPECT_EQ(4U, limits.txn_ops());
   EXPECT_GT(limits.value_bytes(), 900U);
 }
--- a/tests/stored_bytes_test.cpp
+++ b/tests/stored_bytes_test.cpp
@@ -46,7 +46,7 @@
 static_assert(is_number(JobPhase::running, 1));
 static_assert(is_number(JobPhase::done, 2));
 static_assert(is_number(JobPhase::cancelled, 3));
-static_assert(is_number(JobPhase::waiting, 4));
+static_assert(is_number(JobPhase::blocked, 4));
 
 static_assert(is_number(HeartbeatResponse::Kind::commands, 0));
 static_assert(is_number(HeartbeatResponse::Kind::misdirected, 1));
@@ -65,10 +65,10 @@
 static_assert(is_number(ExitCause::none, 0));
 static_assert(is_number(ExitCause::done, 1));
 static_assert(is_number(ExitCause::stopped, 2));
-static_assert(is_number(ExitCause::peers, 3));
-static_assert(is_number(ExitCause::alone, 4));
+static_assert(is_number(ExitCause::peer_lost, 3));
+static_assert(is_number(ExitCause::gang_incomplete, 4));
 static_assert(is_number(ExitCause::error, 5));
-static_assert(is_number(ExitCause::no_room, 6));
+static_assert(is_number(ExitCause::no_capacity, 6));
 static_assert(is_number(ExitCause::busy, 7));
 static_assert(is_number(ExitCause::unknown, 8));
 
@@ -86,10 +86,10 @@
 static_assert(is_number(JobKind::array, 0));
 static_assert(is_number(JobKind::gang, 1));
 static_assert(is_number(JobKind::service, 2));
-static_assert(is_number(ConfigurationRequest::Ask::get, 0));
-static_assert(is_number(ConfigurationRequest::Ask::apply, 1));
-static_assert(is_number(ConfigurationRequest::Ask::history, 2));
-static_assert(is_number(ConfigurationRequest::Ask::follow, 3));
+static_assert(is_number(ConfigurationRequest::Action::get, 0));
+static_assert(is_number(ConfigurationRequest::Action::apply, 1));
+static_assert(is_number(ConfigurationRequest::Action::history, 2));
+static_assert(is_number(ConfigurationRequest::Action::follow, 3));
 
 // In the digests of tests/data/recorded_rounds.txt.
 static_assert(is_number(RowKind::final_job, 0));
@@ -176,7 +176,7 @@
   row.next_attempt = 9;
   row.done = {{232, 240}, {243, 243}};
   row.placed = {{241, Attempt{7}, MachineId{"i-000231"}, "a"}, {242, Attempt{8}, MachineId{"i-000232"}, "b"}};
-  row.failed = 1;
+  row.failed_machines = 1;
   return row;
 }
 
@@ -226,8 +226,8 @@
   for (const auto state : {TaskState::fetching, TaskState::waiting, TaskState::running, TaskState::saving}) {
     r.tasks.push_back({TaskId{job_id(), index++}, Attempt{2}, state, ExitCause::none, false});
   }
-  for (const auto cause : {ExitCause::done, ExitCause::stopped, ExitCause::peers, ExitCause::alone, ExitCause::error,
-                           ExitCause::no_room, ExitCause::busy, ExitCause::unknown}) {
+  for (const auto cause : {ExitCause::done, ExitCause::stopped, ExitCause::peer_lost, ExitCause::gang_incomplete,
+                           ExitCause::error, ExitCause::no_capacity, ExitCause::busy, ExitCause::unknown}) {
     r.tasks.push_back({TaskId{job_id(), index++}, Attempt{3}, TaskState::ended, cause, index % 2 == 0});
   }
   return r;
@@ -260,7 +260,7 @@
 constexpr const char* worker_text_without_optional_fields =
     R"({"host":"i-000232","breed":"c4","yard":"b","tenure":0,"tick":0,"recallS":null})";
 
-NodeRoom node_room() { return {"stall-1", 420, 1000}; }
+NodeCapacity node_room() { return {"stall-1", 420, 1000}; }
 
 HeartbeatBatch batch_of_reports() { return {node_room(), {report_of_each_state_and_cause(), report_without_tasks()}}; }
 
@@ -287,13 +287,13 @@
            {ConfigurationVersion{12}, 1'790'000'000'001, "", json::parse(R"({"teams":null})")}}};
 }
 
-ConfigurationRequest request_to_get() { return {ConfigurationRequest::Ask::get, {}, {}, false, "ops"}; }
+ConfigurationRequest request_to_get() { return {ConfigurationRequest::Action::get, {}, {}, false, "ops"}; }
 ConfigurationRequest request_to_apply() {
-  return {ConfigurationRequest::Ask::apply, json::parse(R"({"teams":{"red":{"gpus":32}}})"), ConfigurationVersion{11},
-          true, "ops"};
+  return {ConfigurationRequest::Action::apply, json::parse(R"({"teams":{"red":{"gpus":32}}})"),
+          ConfigurationVersion{11}, true, "ops"};
 }
-ConfigurationRequest request_for_history() { return {ConfigurationRequest::Ask::history, {}, {}, false, "ops"}; }
-ConfigurationRequest request_to_follow() { return {ConfigurationRequest::Ask::follow, {}, {}, false, ""}; }
+ConfigurationRequest request_for_history() { return {ConfigurationRequest::Action::history, {}, {}, false, "ops"}; }
+ConfigurationRequest request_to_follow() { return {ConfigurationRequest::Action::follow, {}, {}, false, ""}; }
 
 std::vector<Team> two_teams() { return {{"red", {1, 32, 0}, {2, 72, 0}}, {"blue", {0, 8, 0}, {0, 24, 0}}}; }
 
@@ -372,7 +372,7 @@
 
 std::string note_again(const std::string&, const std::string& bytes) {
   const auto note = json::parse(bytes);
-  return encode_note(text(note, "node").value_or(""), asks_to_cancel(note)).dump();
+  return encode_inbox_entry(text(note, "node").value_or(""), requests_cancellation(note)).dump();
 }
 
 std::string request_frame_again(const std::string&, const std::string& hex) {
@@ -422,9 +422,9 @@
   }
   for (const bool chained : {false, true}) {
     out.push_back({chained ? "piece_names_of_a_chained_job" : "piece_names", job_key(job_id(), chained),
-                   encode_chunk_names({"77", n}).dump(), [](const auto&, const std::string& bytes) {
-                     return again(decode_chunk_names(json::parse(bytes)),
-                                  [](const ChunkNames& p) { return encode_chunk_names(p).dump(); });
+                   encode_chunk_manifest({"77", n}).dump(), [](const auto&, const std::string& bytes) {
+                     return again(decode_chunk_manifest(json::parse(bytes)),
+                                  [](const ChunkManifest& p) { return encode_chunk_manifest(p).dump(); });
                    }});
   }
   return out;
@@ -447,12 +447,13 @@
 
 std::vector<Sample> samples_of_single_rows() {
   return {
-      {"note_of_a_job", inbox_key(job_id()), encode_note("stall-1", false).dump(), note_again},
-      {"note_of_a_cancellation", inbox_key(job_id()), encode_note("stall-1", true).dump(), note_again},
-      {"note_of_reach", reach_key("stall-1"), encode_reach(12).dump(),
+      {"note_of_a_job", inbox_key(job_id()), encode_inbox_entry("stall-1", false).dump(), note_again},
+      {"note_of_a_cancellation", inbox_key(job_id()), encode_inbox_entry("stall-1", true).dump(), note_again},
+      {"note_of_reach", stranded_workers_key("stall-1"), encode_stranded_workers(12).dump(),
        [](const std::string& key, const std::string& bytes) {
-         if (!is_reach_key(key)) return std::string{"another key"};
-         return again(decode_reach(json::parse(bytes)), [](std::size_t n) { return encode_reach(n).dump(); });
+         if (!is_stranded_workers_key(key)) return std::string{"another key"};
+         return again(decode_stranded_workers(json::parse(bytes)),
+                      [](std::size_t n) { return encode_stranded_workers(n).dump(); });
        }},
       {"leader", leader_key, encode_leader({"stall-1", "77"}).dump(),
        [](const auto&, const std::string& bytes) { return encode_leader(decode_leader(json::parse(bytes))).dump(); }},
@@ -488,7 +489,7 @@
                           {"configuration_teams", "", config::teams_document(two_teams()).dump(),
                            [](const auto&, const std::string& bytes) {
                              const json document{{"teams", json::parse(bytes)}};
-                             const auto read = config::configuration_of(ConfigurationVersion{1}, document, {}, {});
+                             const auto read = config::resolve_configuration(ConfigurationVersion{1}, document, {}, {});
                              return config::teams_document(read.teams).dump();
                            }}};
   const std::map<std::string, ConfigurationRequest> requests{{"get", request_to_get()},
@@ -515,10 +516,11 @@
   const std::vector<StoreOp> operations{{"lead", encode_leader({"stall-1", "77"}), LeaseId{9}},
                                         {"f/job-000412", encode_final({job_id(), JobPhase::done, 1, 1}), {}},
                                         {"j/job-000412", {}, {}}};
-  return {{"transaction", "", encode_txn(conditions, operations)},
-          {"transaction_without_conditions", "", encode_txn({}, {{"i/job-1", encode_note("stall-1", false), {}}})},
-          {"lease_request", "", encode_lease(seconds(2.5))},
-          {"key_just_before_a_final_row", just_before_final(job_id()), just_before_final(job_id())}};
+  return {
+      {"transaction", "", encode_txn(conditions, operations)},
+      {"transaction_without_conditions", "", encode_txn({}, {{"i/job-1", encode_inbox_entry("stall-1", false), {}}})},
+      {"lease_request", "", encode_lease(seconds(2.5))},
+      {"key_just_before_a_final_row", final_key_cursor_before(job_id()), final_key_cursor_before(job_id())}};
 }
 
 // What the store and the cloud say, as it was understood.
@@ -650,7 +652,7 @@
 std::string reason_of(const std::string& team, double gpus) {
   Scheduler::Options options;
   options.teams = {{"vision", {0, 4, 0}, {0, 8, 0}}};
-  options.terms = {3, 19, 50, 4, 39};
+  options.timings = {3, 19, 50, 4, 39};
   options.token = FencingToken{50};
   options.v1_row_size = 9;
   options.range_size = 8;
@@ -773,9 +775,9 @@
   EXPECT_GE(read, 50U);
 }
 
-// Found while these samples were recorded: of 7edafbd's parse_failed nothing comes back.
+// Found while these samples were recorded: of 7edafbd's parse_failed_keys nothing comes back.
 TEST(stored_bytes, keys_of_failed_conditions_are_read) {
-  EXPECT_EQ((std::vector<std::string>{"lead", "f/job-1"}), parse_failed(R"({"failed":["lead","f/job-1"]})"));
+  EXPECT_EQ((std::vector<std::string>{"lead", "f/job-1"}), parse_failed_keys(R"({"failed":["lead","f/job-1"]})"));
 }
 
 // Pieces are read together.
--- a/tests/task_rows_test.cpp
+++ b/tests/task_rows_test.cpp
@@ -23,7 +23,7 @@
 
   static Scheduler::Options options(bool spans) {
     Scheduler::Options out;
-    out.terms = {3, 19, 50, 4, 39};
+    out.timings = {3, 19, 50, 4, 39};
     out.teams = {{"red", {0, 4, 0}, {0, 1e6, 0}}};
     out.token = FencingToken{50};
     out.range_rows = spans;
