--- a/src/config/configuration_document.cpp
+++ b/src/config/configuration_document.cpp
@@ -31,22 +31,23 @@
 
 double parse_amount(const json& value, const std::string& field) {
   if (!value.is_number()) fail(field, "must be a number");
-  const auto n = value.get<double>();
-  if (!std::isfinite(n) || n < 0) fail(field, "must not be negative");
-  return n;
+  const auto amount = value.get<double>();
+  if (!std::isfinite(amount) || amount < 0) fail(field, "must not be negative");
+  return amount;
 }
 
 Team parse_team(const std::string& name, const json& value) {
   const std::string field = std::string{teams_field} + "." + name;
-  if (name.empty() || name.size() > max_name_bytes) fail(teams_field, "names a team of no or too many letters");
+  if (name.empty() || name.size() > max_name_bytes)
+    fail(teams_field, "has a team name that is empty or longer than 200 bytes");
   if (!value.is_object()) fail(field, "must be an object");
   Team team;
   team.name = name;
-  for (const auto& [key, n] : value.items()) {
-    const auto known = std::ranges::find(team_fields, std::string_view{key}, &TeamField::name);
+  for (const auto& [key, amount] : value.items()) {
+    const auto team_field = std::ranges::find(team_fields, std::string_view{key}, &TeamField::name);
     const std::string path = std::string{field}.append(".").append(key);
-    if (known == team_fields.end()) fail(path, "is not known");
-    (team.*known->resources).*known->amount = parse_amount(n, path);
+    if (team_field == team_fields.end()) fail(path, "is unknown");
+    (team.*team_field->resources).*team_field->amount = parse_amount(amount, path);
   }
   return team;
 }
@@ -60,7 +61,7 @@
 json teams_document(const std::vector<Team>& teams) {
   json out = json::object();
   for (const auto& team : teams) {
-    for (const auto& f : team_fields) out[team.name][f.name] = (team.*f.resources).*f.amount;
+    for (const auto& field : team_fields) out[team.name][field.name] = (team.*field.resources).*field.amount;
   }
   return out;
 }
@@ -79,7 +80,7 @@
   if (!document.is_object()) throw SettingsError("configuration: must be an object");
   Configuration out{version, settings.teams, files};
   for (const auto& [key, value] : document.items()) {
-    if (key != teams_field && key != properties_field) fail(key, "is not known");
+    if (key != teams_field && key != properties_field) fail(key, "is unknown");
     if (!value.is_object()) fail(key, "must be an object");
   }
   if (document.contains(teams_field)) {
@@ -89,7 +90,7 @@
   if (document.contains(properties_field)) {
     for (const auto& [name, value] : document.at(properties_field).items()) {
       const std::string field = std::string{properties_field} + "." + name;
-      if (!changes_at_runtime(name)) fail(field, "does not change while the service runs");
+      if (!changes_at_runtime(name)) fail(field, "cannot be changed while the service runs");
       set_property(name, parse_amount(value, field), out.policy);
     }
   }
--- a/src/config/configuration_document.hpp
+++ b/src/config/configuration_document.hpp
@@ -1,11 +1,11 @@
-// The document that operators change while the service runs (JSON): what it says beyond the settings and properties
+// Configuration document (JSON) that operators change while the service runs. It overrides the settings and properties
 // files.
 //
 //   {"teams": {"red": {"cpus": 0, "cpus_max": 0, "gpus": 32, "gpus_max": 72}},
 //    "properties": {"scheduler.aging.weight": 0.05}}
 //
-// Without `teams` those of the settings hold; where it is there, it names all. A change is a JSON merge patch (RFC
-// 7386) of the document: null takes away.
+// Without `teams`, the teams of the settings apply; with it, the document lists all teams. A change is a JSON merge
+// patch (RFC 7386) of the document: null removes a field.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -16,18 +16,19 @@
 
 namespace martenwall::config {
 
-// Whether a property may change while the service runs: what scheduler and fleet weigh by.
+// Returns whether a property may change while the service runs: the properties of the scheduler and of the fleet may.
 bool changes_at_runtime(const std::string& property);
 
-// The document with the patch applied. A patch that names teams begins with those of the settings where the document
-// has none of its own.
+// Returns the document with the patch applied. If the patch changes teams and the document has none, the patch is
+// applied to the teams of the settings.
 nlohmann::json apply_patch(const nlohmann::json& document, const nlohmann::json& patch, const Settings& settings);
 
-// What the document means beside a node's own files. Throws SettingsError, which names the field.
+// Returns the configuration that results from the document and a node's files. Throws SettingsError, which names the
+// invalid field.
 Configuration resolve_configuration(ConfigurationVersion version, const nlohmann::json& document,
                                     const Settings& settings, const Policy& files);
 
-// The document in which all of a configuration's teams stand, for operators to read.
+// Returns the teams as the value of the document's `teams` field.
 nlohmann::json teams_document(const std::vector<Team>& teams);
 
 }  // namespace martenwall::config
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,4 @@
-// The platform's settings file (JSON) and the operators' own properties.
+// Settings file of the platform (JSON) and properties file of the operators.
 #pragma once
 #include <optional>
 #include <stdexcept>
@@ -10,19 +10,19 @@
 
 namespace martenwall::config {
 
-// Another controller node; `addr` is where it listens for peers.
+// Another controller node; `addr` is the address on which it listens for other controllers.
 struct Peer {
   std::string node, zone, addr;
 };
 
-// A service-level objective of a class of jobs.
+// Service-level objective of a class of jobs.
 struct Objective {
   std::string kind, job_class;
   double within_s = 0, share = 0;
-  double deadline_factor = 1;  // of the deadline, for the kind `deadline`
+  double deadline_factor = 1;  // multiple of the deadline, for the kind `deadline`
 };
 
-// The settings file of one node; rates are per second.
+// Settings of one node; rates are per second.
 struct Settings {
   std::string node, zone, listen, peer_listen, cloud, state;
   std::vector<Peer> peers;
@@ -31,7 +31,7 @@
   WorkerTimings workers;
   double state_rps = 100, state_write_rps = 40;
   std::size_t state_value_bytes = 8 * 1024, state_txn_ops = 24;
-  // What the state service will allow from some moment on; what is not said of it stays as it is.
+  // Announced future limits of the state service; a limit without a value does not change.
   struct UpcomingLimits {
     std::optional<double> rps, write_rps;
     std::optional<std::size_t> value_bytes, txn_ops;
@@ -42,21 +42,22 @@
   std::size_t max_connections = 1000;
 };
 
-// Its text is one line that names the field.
+// Invalid settings or properties. The message is one line that names the field.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Throws SettingsError where a field is missing, misspelt or out of its range.
+// Parses the settings. Throws SettingsError if a field is missing, misspelled or out of range.
 Settings parse_settings(const std::string& json_text);
-// The same of a file; throws also where it cannot be read.
+// Parses a settings file. Throws SettingsError also if the file cannot be read.
 Settings load_settings(const std::string& path);
-// Java-style properties; unknown names are errors, since a misspelt setting must not pass unseen.
+// Applies a file of Java-style properties to the policy. Throws SettingsError for unknown names, so that a misspelled
+// property does not go unnoticed.
 void apply_properties(const std::string& path, Policy& policy);
-// One of them; throws where there is no such name, or the value is negative.
+// Sets one property. Throws SettingsError if the name is unknown or the value is negative.
 void set_property(const std::string& name, double value, Policy& policy);
-// Throws SettingsError where settings and policy do not go together.
+// Throws SettingsError if the policy is out of range or inconsistent with the settings.
 void check(const Settings& settings, const Policy& policy);
 
 }  // namespace martenwall::config
--- a/src/core/capacity/scale_out_planner.hpp
+++ b/src/core/capacity/scale_out_planner.hpp
@@ -1,4 +1,4 @@
-// Fleet sizing: what to hire for the work that found no room, and what to give back.
+// Fleet sizing: which machines to rent for work without capacity, and how many idle machines to keep.
 #pragma once
 #include <deque>
 #include <map>
@@ -11,17 +11,17 @@
 
 namespace martenwall {
 
-constexpr double boot_time_factor = 1.25;  // times the nominal boot time within which most machines are up
+constexpr double boot_time_factor = 1.25;  // multiple of the nominal boot time within which most machines are up
 
-// Machines to be rented: one kind in one zone.
+// A request to rent machines of one type in one zone, spot or not.
 struct ScaleOutRequest {
-  std::string name;  // never reused, by any leader
+  std::string name;  // never reused, not even by another leader
   std::string type, zone;
   bool spot = false;
   std::uint32_t count = 0;
 };
 
-// Where the cloud refused lately: type, zone, kind.
+// Recent refusals of the cloud provider, by type, zone and spot flag.
 struct CapacityRefusals {
   using Location = std::tuple<std::string, std::string, bool>;
   std::map<Location, Time> refused_until;
@@ -31,45 +31,46 @@
   }
 };
 
-// Tasks of one job that found no place.
+// Tasks of one job that could not be placed.
 struct Demand {
   const JobSpec* spec = nullptr;
   Job* job = nullptr;
-  std::uint32_t count = 0;  // tasks without room; a gang's all or none
-  std::string zone;         // where the job's other tasks bind it, or empty
+  std::uint32_t count = 0;  // tasks without capacity; for a gang all or none
+  std::string zone;         // zone to which the job's other tasks bind it, or empty
   bool spot_only = false;
-  std::map<std::string, std::uint32_t> tasks_by_zone{};  // of a job that is to be spread: its other tasks
+  std::map<std::string, std::uint32_t> tasks_by_zone{};  // for a job that must be spread: its other tasks by zone
 };
 
-// Room that is there or on its way: free machines, booting ones, those asked for.
+// Capacity that exists or is expected: free machines, booting machines and requested ones.
 struct CapacityForecast {
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
   Resources free;
-  Time ready{};  // when it is expected to take starts
+  Time ready{};  // when it is expected to accept starts
   bool to_rent = false;
-  Machine* idle = nullptr;  // up and empty: kept as long as a job that waits counts on it
+  Machine* idle = nullptr;  // the machine if it is up and empty: it is not released while a waiting job counts on it
 };
 
-// What the planner knows of the fleet.
+// Input of the planner.
 struct FleetView {
   Time now{};
   const Policy& policy;
   const std::vector<MachineType>& types;
   const CapacityRefusals& capacity;
-  std::map<std::string, std::uint32_t> machines_by_zone;  // machines there now, to spread over zones
+  std::map<std::string, std::uint32_t> machines_by_zone;  // current machines, to balance rentals over the zones
   std::vector<CapacityForecast> forecast;
 };
 
-// How many machines of a kind were busy, second by second. Of it follows how many more may be wanted before
-// one that is hired now would be up.
+// Number of busy machines of a kind, sampled once a second. Used to estimate how many more may be needed before a
+// machine rented now is up.
 class LoadHistory {
  public:
-  // One sample a second.
+  // Adds a sample; called once a second.
   void add(double busy);
-  // What the load may grow by over `horizon` samples: `deviations` times the scatter of its growth lately, or
-  // of a load that comes by chance (its root), since a small fleet's history tells too little.
+  // Returns by how much the load may grow over `horizon` samples: `deviations` times the standard deviation of its
+  // recent growth, or of a random load (the square root of its maximum) if that is more, because the history of a small
+  // fleet has too few samples.
   [[nodiscard]] double reserve(std::size_t horizon, double deviations) const;
 
  private:
@@ -77,8 +78,8 @@
   std::deque<double> samples_;
 };
 
-// Machines to rent, packed greedily; requests without a name yet. Each demand's job learns when its room is
-// expected, or that none is.
+// Returns the machines to rent, packed greedily; the requests have no name yet. Sets `capacity_expected_at` of each
+// demand's job to when its capacity is expected, or clears it if none is.
 std::vector<ScaleOutRequest> pack_scale_out_requests(const FleetView& view, const std::vector<Demand>& demands);
 
 }  // namespace martenwall
--- a/src/core/leadership/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -6,7 +6,8 @@
 namespace martenwall {
 
 namespace {
-constexpr double max_clock_drift = 0.001;  // twice the 0.05% of PROTOCOL: two clocks may err against each other
+constexpr double max_clock_drift =
+    0.001;  // twice the protocol's bound of 0.05%: two clocks may drift in opposite directions
 
 Duration subtract_drift(Duration d) { return seconds(to_seconds(d) * (1 - max_clock_drift)); }
 }  // namespace
--- a/src/core/leadership/leadership.hpp
+++ b/src/core/leadership/leadership.hpp
@@ -1,4 +1,4 @@
-// Who may act for the controllers: one node's view, as an explicit state machine.
+// Leadership of the controllers as seen by one node, as an explicit state machine.
 #pragma once
 #include <string>
 #include <string_view>
@@ -10,39 +10,41 @@
 
 // This node's role.
 enum class LeaderState {
-  follower,  // another node leads, or none
-  loading,   // holds the key, reads the store
-  leading,   // may place
-  grace,     // cannot prove it any more: places nothing, keeps the workers' leases alive
+  follower,  // another node leads, or none does
+  loading,   // holds the leader key and is loading the store
+  leading,   // may place tasks
+  grace,     // cannot prove that its lease is valid: places nothing but renews the workers' leases
 };
+// Returns the name for log lines.
 std::string_view name_of(LeaderState s);
 
-// The role, the fencing token and until when the lease is valid.
+// The role, the fencing token and the end of the lease.
 class Leadership {
  public:
   Leadership(const Policy& policy, const WorkerTimings& timings);
 
-  // The grace D: lease TTL + D + worker lease + margin stays below cancel_s, so that a
-  // cancellation which this node cannot see still takes effect in time.
+  // Returns the grace period D: lease TTL + D + worker lease + margin stays below cancel_s, so that a cancellation that
+  // this node cannot see still takes effect in time.
   [[nodiscard]] Duration grace() const { return grace_; }
-  // All three bounds count from the moment before a renewal was sent, less clock drift.
+  // Records that the lease was acquired. All three time limits count from the moment before a renewal was sent, less
+  // clock drift.
   void acquired(FencingToken token, Time lease_sent);
-  // The rows were read: it may place, if its lease is still valid.
+  // Records that the rows were loaded: the node may place tasks if its lease is still valid.
   void loaded(Time now);
-  // The lease was renewed by a request that was sent then.
+  // Records that the lease was renewed by a request sent at `sent`.
   void renewed(Time sent, Time now);
-  // It is a follower from now on.
+  // Makes the node a follower.
   void lost();
-  // To be called now and then: notices that the lease expired.
+  // Detects that the lease expired; must be called periodically.
   void tick(Time now);
 
   [[nodiscard]] LeaderState state() const { return state_; }
   [[nodiscard]] FencingToken token() const { return token_; }
-  // Whether no other node can lead now, so that starts may go out.
+  // Returns whether no other node can be leader at `now`, so that starts may be sent.
   [[nodiscard]] bool has_valid_lease(Time now) const;
-  // May it answer workers with 200?
+  // Returns whether the node may answer workers with HTTP 200.
   [[nodiscard]] bool serves_workers(Time now) const;
-  // When the lease expires.
+  // Returns when the lease expires.
   [[nodiscard]] Time valid_until() const { return valid_until_; }
 
  private:
--- a/src/core/leadership/retry_after.cpp
+++ b/src/core/leadership/retry_after.cpp
@@ -13,7 +13,7 @@
   updated_at_ = std::max(updated_at_, now);
   waiting_ = std::max(0.0, waiting_ - elapsed_s * per_second_);
   const auto second = static_cast<int>(std::fmod(std::floor(waiting_ / per_second_), max_s_));
-  // Beyond twice what the longest time takes, the count would only lengthen the time until it is forgotten.
+  // Capped at twice the capacity of the longest Retry-After: a larger count would only take longer to drain.
   waiting_ = std::min(waiting_ + 1, 2 * per_second_ * max_s_);
   return 1 + second;
 }
--- a/src/core/leadership/retry_after.hpp
+++ b/src/core/leadership/retry_after.hpp
@@ -1,18 +1,19 @@
-// When users that are refused are to ask again: so many a second that they can be taken then, and not all at once.
+// Retry-After of refused requests: spreads the retries so that the node can accept them when they arrive.
 #pragma once
 #include "core/types.hpp"
 
 namespace martenwall {
 
-// Paces the Retry-After of refused requests.
+// Assigns Retry-After values to refused requests.
 class RetryAfterPacer {
  public:
-  // `per_second`: requests that this node can take beside new ones. `most_s`: no user is sent away for longer.
+  // `per_second`: retries that this node can accept in addition to new requests. `max_s`: longest Retry-After, in
+  // seconds.
   RetryAfterPacer(double per_second, int max_s);
-  // For one more refused request: whole seconds, 1 to `most_s`. Each gets the first second that is not full yet; where
-  // all are, they are shared out evenly.
+  // Returns the Retry-After of one more refused request: whole seconds, 1 to `max_s`. Each request gets the first
+  // second that is not full; if all are full, they are distributed evenly.
   int next(Time now);
-  // Requests told to return that have not yet had their turn.
+  // Returns the number of refused requests whose retry is not due yet.
   [[nodiscard]] double waiting() const { return waiting_; }
 
  private:
--- a/src/core/messages.hpp
+++ b/src/core/messages.hpp
@@ -1,4 +1,4 @@
-// What comes into the core and what goes out of it, in standard terms.
+// Messages that the core receives and sends.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace martenwall {
 
-// What a worker says of one task.
+// Status of one task as its worker reports it.
 struct TaskStatus {
   TaskId task;
   Attempt attempt;
@@ -24,15 +24,15 @@
   bool spot = false;
   Incarnation incarnation;
   HeartbeatSequence sequence;
-  FencingToken token;  // highest the worker has seen
+  FencingToken token;  // highest token that the worker has seen
   std::optional<double> preemption_notice_s;
   std::vector<TaskStatus> tasks;
 };
 
-// A heartbeat that the worker sent by itself, or its reply to a command, which tells the same.
+// Where a task status came from: a periodic heartbeat or the reply to a command, which carries the same data.
 enum class StatusSource { heartbeat, command_reply };
 
-// What a worker is to do with one task; `forget`: its end is stored.
+// Instruction to a worker about one task. `forget`: the end of the task is stored, so the worker may drop its record.
 struct Command {
   enum class Verb { start, stop, forget };
   Verb verb = Verb::start;
@@ -41,19 +41,19 @@
   double grace_s = 0;
 };
 
-// What a worker's heartbeat is answered with, by whichever node.
+// Response to a heartbeat, whichever node received it.
 struct HeartbeatResponse {
   enum class Kind : std::uint8_t {
-    commands,     // 200: renews its lease
-    misdirected,  // this node is not entitled to act
-    released,     // the machine was released
-    deferred,     // not looked at: the answer would have become too long
+    commands,     // HTTP 200: renews the worker's lease
+    misdirected,  // this node may not act as leader
+    released,     // the machine has been released
+    deferred,     // not processed: the response would have exceeded its size limit
   };
   Kind kind = Kind::misdirected;
   std::vector<Command> commands{};
 };
 
-// Commands that are sent straight to a worker; it refuses them in another incarnation.
+// Commands sent directly to a worker, which refuses them if its incarnation differs.
 struct CommandBatch {
   MachineId machine;
   std::string addr;
@@ -61,10 +61,10 @@
   std::vector<Command> commands;
 };
 
-// `unknown`: no answer came, so that the commands may still be executed.
+// `unknown`: no response arrived, so the commands may still be executed.
 enum class CommandOutcome { executed, refused, not_sent, unknown };
 
-// A machine in the cloud's list.
+// A machine in the cloud provider's list.
 struct ListedMachine {
   MachineId id;
   std::string addr, type, zone;
@@ -73,39 +73,40 @@
   double age_s = 0;
 };
 
-// Rows of the store.
+// Stored result of a job that ended.
 struct FinalJob {
   JobId id;
   JobPhase phase = JobPhase::done;
   std::uint32_t tasks = 0, done = 0;
-  bool dependent = false;  // where its own row stood
+  bool dependent = false;  // the job's row has the key prefix for dependent jobs
 };
 
-// What users are told of a job.
+// Status of a job as reported to users.
 struct JobStatus {
   JobId id;
   JobPhase phase = JobPhase::pending;
   std::uint32_t done = 0, running = 0;
-  std::string pending_reason{};  // why nothing of it can start, where that lies with its team
+  std::string pending_reason{};  // why no task of the job can start, if its team is the cause
 };
 
-// What is worth knowing of a machine by a new leader; no rule depends on it.
+// Data about a machine that helps a new leader; correctness does not depend on it.
 struct MachineRecord {
   MachineId id;
-  std::uint32_t group = 0;  // machines that share a row
+  std::uint32_t group = 0;  // group of machines that share a row
   std::string addr, type, zone;
   bool spot = false;
   Incarnation incarnation;
-  std::vector<std::pair<std::string, double>> images;  // cached, most recent first
+  std::vector<std::pair<std::string, double>> images;  // cached images with their size in GB, most recently used first
 };
 
-// A run of a job's task indices. It says which of them are done and which may be on a machine, and no attempt
-// from `next_attempt` on was used for any of them. Team, need and priority stand here too, since the tasks of a
-// cancelled job outlive its own row. Where the runs of several rows overlap, the one that begins last counts.
+// State of a contiguous range of a job's task indices: which tasks are done and which may be on a machine. No attempt
+// number from `next_attempt` on has been used for any of them. Team, need and priority are included because the tasks
+// of a cancelled job outlive the job's own row. If the ranges of several rows overlap, the row with the highest first
+// index takes precedence.
 struct TaskRow {
   JobId job;
   std::uint32_t first = 0, size = 0;
-  bool is_v1 = false;  // its key has a number instead of `first`; its run follows from the value's limit
+  bool is_v1 = false;  // the key holds a row number; the size follows from the store's value limit
   std::string team;
   Resources need;
   Priority priority = Priority::normal;
@@ -119,26 +120,27 @@
     std::string zone;
   };
   std::vector<PlacedTask> placed;
-  std::uint32_t failed_machines = 0;  // machines that the job failed on while nothing of it was done
+  std::uint32_t failed_machines = 0;  // machines on which the job failed while none of its tasks was done
 };
 
-// A row of the store that is to be written; what is not set is removed.
+// Kind of a row in the store.
 enum class RowKind { final_job, tasks_v1, tasks, machines };
-// Names a row of the store.
+// Identifies a row in the store.
 struct RowKey {
   RowKind kind = RowKind::tasks;
-  std::string id;          // of the job; empty for facts
-  std::uint32_t part = 0;  // first index of the run, the number of a legacy row, or the group of machines
+  std::string id;          // job id; empty for machine rows
+  std::uint32_t part = 0;  // first task index, row number (format 1) or machine group
   auto operator<=>(const RowKey&) const = default;
 };
+// A row to be written to the store; a row without content is removed.
 struct RowWrite {
   RowKey key;
-  Generation generation;   // of the job's part
-  std::uint32_t size = 0;  // of its run
+  Generation generation;   // generation of the range that the row holds
+  std::uint32_t size = 0;  // number of task indices in the range
   std::optional<FinalJob> final_job;
   std::optional<TaskRow> tasks;
-  std::vector<MachineRecord> machines;    // of one group of machines; empty: the row goes
-  std::vector<std::string> chunk_keys{};  // further keys of the job's own row, which go with it
+  std::vector<MachineRecord> machines;    // records of one machine group; empty: the row is removed
+  std::vector<std::string> chunk_keys{};  // further keys of the job's own row, removed together with it
 };
 
 }  // namespace martenwall
--- a/src/core/model/configuration.cpp
+++ b/src/core/model/configuration.cpp
@@ -5,7 +5,7 @@
 namespace martenwall {
 
 namespace {
-constexpr double drift_allowance = 0.999;  // of clocks, twice PROTOCOL's bound
+constexpr double drift_allowance = 0.999;  // clock drift of 0.1%, twice the protocol's bound
 }  // namespace
 
 std::string_view name_of(ConfigurationState s) {
@@ -20,7 +20,7 @@
   return "followed";
 }
 
-// Once followed it stays so: a configuration is never taken away.
+// `followed` is final: a stored configuration is never removed.
 void ConfigurationValidity::transition_to(ConfigurationState next) {
   if (state_ != ConfigurationState::followed) state_ = next;
 }
--- a/src/core/model/configuration.hpp
+++ b/src/core/model/configuration.hpp
@@ -1,5 +1,5 @@
-// The operators' configuration that may change while the service runs, and whether a node knows it well enough to
-// decide by it.
+// Configuration that operators may change while the service runs, and whether this node's view of it is recent enough
+// to act on.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,43 +13,45 @@
 
 using ConfigurationVersion = StrongType<struct ConfigurationVersionTag, std::uint64_t>;
 
-// Version 0 is what the settings and properties files say.
+// Version 0 holds the values of the settings and properties files.
 struct Configuration {
   ConfigurationVersion version;
   std::vector<Team> teams;
   Policy policy;
 };
 
-// How long a version may be decided by after the last read that showed it to be the newest was sent. A change is in
-// force everywhere once this has passed since its commit: whoever has not read it decides nothing by then.
+// How long a node may act on a version, counted from the sending of the last read that showed it to be the newest. A
+// change is in force on all nodes once this time has passed since its commit: a node that has not read the change no
+// longer makes decisions by then.
 constexpr Duration configuration_validity = seconds(5);
 
-// What this node knows of the configuration in the store.
+// What this node knows about the configuration in the store.
 enum class ConfigurationState {
-  unknown,   // not read since the process began
-  unused,    // there is none, and none can come without this node's word
-  followed,  // read again and again
+  unknown,   // not read since the process started
+  unused,    // no configuration is stored, and none can be created without this node's acknowledgement
+  followed,  // read periodically
 };
+// Returns the name for log lines.
 std::string_view name_of(ConfigurationState s);
 
-// Until when the known version may be decided by.
+// Tracks until when this node may act on the version it knows.
 class ConfigurationValidity {
  public:
   [[nodiscard]] ConfigurationState state() const { return state_; }
-  // A read that was sent then found none. Only of the reads that say so (docs/safety.md) it follows that none can come
-  // without this node's word.
+  // A read sent at `sent` found no configuration. `creation_excluded`: the read also guarantees that none can be
+  // created without this node's acknowledgement; docs/safety.md says which reads do.
   void on_none_found(Time sent, bool creation_excluded);
-  // A read that was sent then found the known version to be the newest.
+  // A read sent at `sent` found the known version to be the newest.
   void on_version_confirmed(Time sent);
-  void start_following();  // this node gave its word
+  void start_following();  // this node acknowledged the start of configuration changes
   [[nodiscard]] bool is_following() const { return state_ == ConfigurationState::followed; }
-  // Whether what rests on the configuration may be decided now.
+  // Returns whether this node may make decisions that depend on the configuration.
   [[nodiscard]] bool may_decide(Time now) const;
 
  private:
   void transition_to(ConfigurationState next);
   ConfigurationState state_ = ConfigurationState::unknown;
-  std::optional<Time> confirmed_;  // the sending of the last read that was answered
+  std::optional<Time> confirmed_;  // sending time of the last read that was answered
 };
 
 }  // namespace martenwall
--- a/src/core/model/done_set.hpp
+++ b/src/core/model/done_set.hpp
@@ -1,4 +1,4 @@
-// Finished task indices of one job: the lowest unfinished index plus the finished ones above it.
+// Set of the finished task indices of one job.
 #pragma once
 #include <cstdint>
 #include <set>
@@ -7,22 +7,23 @@
 
 namespace martenwall {
 
-// Indices of tasks that are done: all below the lowest unfinished one, and single ones above it.
+// Stores the lowest unfinished index, below which all tasks are done, and the finished indices above it.
 class DoneSet {
  public:
-  using Range = std::pair<std::uint32_t, std::uint32_t>;  // first, last (inclusive)
+  using Range = std::pair<std::uint32_t, std::uint32_t>;  // first and last index, both inclusive
 
-  bool insert(std::uint32_t index);  // false: was there already
+  bool insert(std::uint32_t index);  // returns false if the index was already in the set
   [[nodiscard]] bool contains(std::uint32_t index) const;
   [[nodiscard]] std::uint32_t lowest_unfinished() const { return lowest_unfinished_; }
   [[nodiscard]] std::uint32_t count() const {
     return lowest_unfinished_ + static_cast<std::uint32_t>(done_above_.size());
   }
+  // Returns one past the highest finished index.
   [[nodiscard]] std::uint32_t upper() const {
     return done_above_.empty() ? lowest_unfinished_ : *done_above_.rbegin() + 1;
   }
-  [[nodiscard]] std::vector<Range> ranges_in(std::uint32_t first, std::uint32_t last) const;  // last inclusive
-  // Both ends included.
+  [[nodiscard]] std::vector<Range> ranges_in(std::uint32_t first, std::uint32_t last) const;  // `last` is inclusive
+  // Inserts all indices of the range.
   void insert_range(const Range& range);
   bool operator==(const DoneSet&) const = default;
 
--- a/src/core/model/model.cpp
+++ b/src/core/model/model.cpp
@@ -50,7 +50,7 @@
 
 bool Machine::transition_to(MachinePhase next, Time now) {
   if (next == phase_) return true;
-  // A machine that was asked to be released never serves again: the request can take effect late.
+  // A machine whose release was requested never serves again: the request may take effect late.
   if (phase_ == MachinePhase::releasing) return false;
   phase_ = next;
   phase_since = now;
--- a/src/core/model/model.hpp
+++ b/src/core/model/model.hpp
@@ -1,4 +1,4 @@
-// What the core knows: jobs, tasks, machines, placements, teams.
+// State of the core: jobs, tasks, machines, placements and teams.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -15,18 +15,19 @@
 
 namespace martenwall {
 
-// A job array (independent tasks), a gang (all tasks at once or none) or a service (replicas that keep running).
+// A job array (independent tasks), a gang (all tasks run at once or none does) or a service (replicas that keep
+// running).
 enum class JobKind { array, gang, service };
-// Ordered: a job may preempt work of lower priority.
+// In ascending order: a job may preempt work of lower priority.
 enum class Priority { best_effort, normal, high, production };
-// `waiting`: blocked: jobs that it depends on are not all done; users are told `pending`.
+// `blocked`: not all of the job's dependencies are done; the status API reports `pending`.
 enum class JobPhase { pending, running, done, cancelled, blocked };
-// As users are told.
+// Returns the name that users see.
 std::string_view name_of(JobPhase p);
 
 constexpr bool is_final(JobPhase p) { return p == JobPhase::done || p == JobPhase::cancelled; }
 
-// Amounts of what a task needs, or a machine or team has.
+// Resource amounts: what a task needs, or what a machine or a team has.
 struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
   [[nodiscard]] bool fits_in(const Resources& available) const {
@@ -38,14 +39,14 @@
     gpus += r.gpus * times;
     memory_gb += r.memory_gb * times;
   }
-  // Of each the lesser.
-  [[nodiscard]] Resources component_min(const Resources& o) const {
-    return {std::min(cpus, o.cpus), std::min(gpus, o.gpus), std::min(memory_gb, o.memory_gb)};
+  // Returns the smaller amount of each resource.
+  [[nodiscard]] Resources component_min(const Resources& other) const {
+    return {std::min(cpus, other.cpus), std::min(gpus, other.gpus), std::min(memory_gb, other.memory_gb)};
   }
   [[nodiscard]] Resources times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
 };
 
-// A kind of machine that the cloud rents: capacity, image cache, prices, nominal boot time, zones.
+// A machine type of the cloud provider: capacity, image cache, prices, nominal boot time and zones.
 struct MachineType {
   std::string name;
   Resources capacity;
@@ -53,7 +54,7 @@
   std::vector<std::string> zones;
 };
 
-// How much of such a machine a need takes, in its GPUs, or in its CPUs where it has none.
+// Returns the dominant share of the machine that `need` takes, in GPUs, or in CPUs if the machine type has no GPUs.
 inline double dominant_units(const MachineType& type, const Resources& need) {
   const auto part = [](double of, double n) { return of > 0 ? n / of : 0.0; };
   const double dominant = std::max({part(type.capacity.cpus, need.cpus), part(type.capacity.gpus, need.gpus),
@@ -61,13 +62,13 @@
   return dominant * (type.capacity.gpus > 0 ? type.capacity.gpus : type.capacity.cpus);
 }
 
-// Whose quota work counts for.
+// A team, against whose quota its jobs count.
 struct Team {
   std::string name;
-  Resources guarantee, limit;  // memory unused; 0 in `limit` of a kind means none may be used
+  Resources guarantee, limit;  // memory is not used; a limit of 0 leaves that resource unlimited
 };
 
-// A job as its user submitted it.
+// A job as submitted by its user.
 struct JobSpec {
   JobId id;
   std::string job_class, team;
@@ -82,53 +83,54 @@
   bool one_zone = false, spread = false, spot = false;
   double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
   std::optional<double> deadline_s;
-  std::vector<JobId> dependencies;  // have to be done before any task of it starts; no two alike
+  std::vector<JobId> dependencies;  // jobs that must be done before any task starts; without duplicates
 };
 
-// How far a task is on its machine, in order: planned (row not stored or start not sent), sent, fetching its image,
+// Progress of a task on its machine, in order: planned (row not stored or start not sent), sent, fetching its image,
 // waiting for its gang, running, saving a checkpoint, ended.
 enum class TaskState { planned, sent, fetching, waiting, running, saving, ended };
-// For the log.
+// Returns the name for log lines.
 std::string_view name_of(TaskState s);
-// Why a task ended, as its worker reports it; `peers`: a member of its gang was lost, `alone`: its gang was not
-// complete in time, `no_room` and `busy`: the worker refused the start, `unknown`: the worker does not know the task.
+// Why a task ended, as its worker reports it. `peer_lost`: a member of its gang was lost; `gang_incomplete`: its gang
+// was not complete in time; `no_capacity` and `busy`: the worker refused the start; `unknown`: the worker has no record
+// of the task.
 enum class ExitCause { none, done, stopped, peer_lost, gang_incomplete, error, no_capacity, busy, unknown };
-// For the log.
+// Returns the name for log lines.
 std::string_view name_of(ExitCause c);
 
-// A task that may be on a machine. It is stored in the machine's row before its start is sent.
+// A task that may be on a machine. Its record is stored in a task row before its start is sent.
 class Placement {
  public:
   Placement(TaskId task_id, Attempt attempt_no, Generation change, Time now)
       : task(std::move(task_id)), attempt(attempt_no), generation(change), placed_at(now) {}
 
-  // The one function that changes the state; returns false where the change is not a legal one.
+  // Changes the state; the only function that does so. Returns false if the transition is not allowed.
   bool transition_to(TaskState next, Time now);
   [[nodiscard]] TaskState state() const { return state_; }
-  // While true it takes room, counts for its team's limit and binds its zone.
+  // Returns whether the task takes capacity, counts against its team's limit and binds its zone.
   [[nodiscard]] bool occupies() const { return !removed && state_ != TaskState::ended; }
-  // A start that was sent can still take effect on the worker.
+  // Returns whether a start that was sent can still take effect on the worker.
   [[nodiscard]] bool start_in_flight() const { return direct_start_unanswered || start_sequence.has_value(); }
   [[nodiscard]] bool is_reported() const { return state_ != TaskState::planned && state_ != TaskState::sent; }
 
   TaskId task;
   Attempt attempt;
-  std::string team;  // kept here too: the job itself may be final and forgotten
+  std::string team;  // a copy: the job may have ended and been removed from memory
   Resources need;
   Priority priority = Priority::normal;
-  Generation generation;           // must be stored before the start (planned) or the reap (ended)
-  bool accounted = false;          // in its machine's and its team's sums
-  bool accounted_running = false;  // in its job's number of running tasks
+  Generation generation;   // must be stored before the start is sent (planned) or the worker drops the task (ended)
+  bool accounted = false;  // included in the sums of its machine and its team
+  bool accounted_running = false;  // included in its job's number of running tasks
   Time placed_at;
   Time state_since{};
   Time running_since{};
-  bool unconfirmed = false;                         // recorded by an earlier leader, not yet confirmed or refuted
-  bool direct_start_unanswered = false;             // an unanswered direct start may still execute in this incarnation
-  std::optional<HeartbeatSequence> start_sequence;  // the heartbeat in whose response the start went out last
-  bool removed = false;                             // surely not on the machine; swept after the event
+  bool unconfirmed = false;              // recorded by an earlier leader and neither confirmed nor refuted yet
+  bool direct_start_unanswered = false;  // an unanswered direct start may still be executed in this incarnation
+  std::optional<HeartbeatSequence> start_sequence;  // heartbeat in whose response the start was last sent
+  bool removed = false;                             // certainly not on the machine; erased after the current event
   bool stop_requested = false;
   bool stop_sent = false;
-  bool orphan = false;  // reported by a worker without a record: only stopped and counted
+  bool orphan = false;  // reported by a worker without a stored record: it is only stopped and counted
   double stop_grace_s = 0;
   Time stop_requested_at{};
   ExitCause cause = ExitCause::none;
@@ -140,38 +142,39 @@
 enum class MachinePhase { booting, up, draining, releasing, lost };
 std::string_view name_of(MachinePhase p);
 
-// A rented machine: what its worker reported, what may be on it, and how far it can be trusted.
+// A rented machine: what its worker reported, which tasks may be on it and how reliable it is.
 class Machine {
  public:
   explicit Machine(MachineId machine_id) : id(std::move(machine_id)) {}
-  // The one function that changes the phase; returns false where the change is not a legal one.
+  // Changes the phase; the only function that does so. Returns false if the transition is not allowed.
   bool transition_to(MachinePhase next, Time now);
   [[nodiscard]] MachinePhase phase() const { return phase_; }
   [[nodiscard]] bool accepts_starts() const { return phase_ == MachinePhase::up && has_reported; }
-  // nullptr where there is none.
+  // Returns nullptr if there is no such placement.
   Placement* find(const TaskId& task, Attempt attempt);
   [[nodiscard]] bool empty() const { return task_count == 0; }
-  // Of an image in the machine's cache.
+  // State of an image in the machine's cache.
   enum class ImageState { absent, fetching, ready };
   [[nodiscard]] ImageState image_state(ImageId image) const;
   [[nodiscard]] bool has_image(ImageId image) const { return image_state(image) == ImageState::ready; }
-  // The image was used, or its fetch began (`ready` false): the least recently used ones leave the cache.
+  // Records that the image was used, or that its fetch began (`ready` false). Evicts the least recently used images
+  // beyond the cache size.
   void touch_image(ImageId image, double gb, double cache_gb, bool ready = true);
-  void drop_fetch(ImageId image);  // given up before it was complete
+  void drop_fetch(ImageId image);  // removes an image whose fetch was abandoned
 
   MachineId id;
   std::string addr, type, zone;
   bool spot = false;
   Incarnation incarnation;
-  Incarnation ended_incarnation{0};  // this one and all before it are surely over
+  Incarnation ended_incarnation{0};  // this incarnation and all earlier ones are certainly over
   HeartbeatSequence sequence;
-  bool has_reported = false;       // reported to this leadership
-  Time incarnation_known_since{};  // when the incarnation was first known: it began no later
+  bool has_reported = false;       // has reported to this leader
+  Time incarnation_known_since{};  // when the incarnation was first seen; it began no later
   Time first_known{}, lease_renewed_at{}, last_report_at{}, last_heartbeat_at{}, phase_since{}, idle_since{};
-  std::optional<Time> reclaimed_at;  // spot notice
-  std::optional<Time> listed_at;     // first seen in the cloud's list
+  std::optional<Time> reclaimed_at;  // time of the provider's preemption notice
+  std::optional<Time> listed_at;     // first seen in the cloud provider's list
   std::vector<Placement> placements;
-  // Sums over what may be on the machine, kept up to date as placements come and go.
+  // Sums over the tasks that may be on the machine, updated as placements are added and removed.
   Resources used;
   std::size_t task_count = 0;
   struct Image {
@@ -179,17 +182,17 @@
     double gb = 0;
     bool ready = false;
   };
-  std::vector<Image> images;  // most recent first
+  std::vector<Image> images;  // most recently used first
   std::optional<JobId> reserved_for;
   Time reserved_until{};
   Time no_starts_before{};
-  Time keep_until{};  // a job that waits for further machines counts on it
+  Time keep_until{};  // not released before: a job that waits for further machines counts on it
   DownlinkHealth downlink;
   bool answered_by_this_leader = false;
   std::set<JobId> failing_jobs;  // jobs that failed here since a task last completed here
-  Time evaluate_at{};            // no sooner is it decided whether the fault is its own
+  Time evaluate_at{};            // earliest time to decide whether the machine itself is at fault
   bool quarantined = false;
-  std::optional<std::uint32_t> group;  // whose row in the store tells of it
+  std::optional<std::uint32_t> group;  // group of machines whose row in the store includes this one
 
  private:
   MachinePhase phase_ = MachinePhase::booting;
@@ -201,63 +204,64 @@
   Time submitted{};
   std::int64_t submitted_wall_ms = 0;
   JobPhase phase = JobPhase::pending;
-  Priority priority = Priority::normal;  // its own, or a higher one of a job that needs it
+  Priority priority = Priority::normal;  // its own, or the higher priority of a job that depends on it
   std::uint64_t next_attempt = 1;
   DoneSet done;
-  bool end_write_sent = false;  // its end is on its way to the store: others may read it there before this node knows
-  bool end_is_stored = false;   // its end is in the store and may be told
-  bool residual = false;        // its end was stored by an earlier leader; only its last tasks are looked after
-  bool dependent = false;       // its own row stands where level 1 does not look
+  bool end_write_sent = false;  // its end may be in the store before this node knows the result
+  bool end_is_stored = false;   // its end is stored and may be reported
+  bool residual = false;        // its end was stored by an earlier leader; only its remaining tasks are managed
+  bool dependent = false;       // its own row has a key prefix that nodes of format version 1 do not read
   ImageId image;
-  // What is known of each row of its tasks in the store; a row tells of a run of task indices.
+  // State of one of the job's task rows in the store; each row covers a range of task indices.
   struct RowState {
-    std::uint32_t size = 0;  // of the run
+    std::uint32_t size = 0;  // number of task indices in the range
     Generation changed, stored;
-    std::uint32_t in_store = 0;  // how many indices the row that may exist tells of; 0: there is none
+    std::uint32_t in_store = 0;  // number of indices that the possibly stored row covers; 0: no row is stored
   };
-  using RowStates = std::map<std::uint32_t, RowState>;  // by the first index; no two overlap
-  RowStates task_ranges;                                // rows that name their runs themselves
-  RowStates v1_rows;                                    // rows by number, which versions of level 1 read and write
-  std::vector<std::string> chunk_keys;                  // further keys that its own row is spread over
-  std::optional<Time> effective_deadline;  // the latest end that lets it and all that need it meet their deadlines
-  Time ready_at{};                         // when the last job that it awaits was done
-  std::set<JobId> open_dependencies;       // of those that it awaits, the ones not known to be done
-  // In memory only:
+  using RowStates = std::map<std::uint32_t, RowState>;  // by first index; ranges do not overlap
+  RowStates task_ranges;                                // rows of format 2, which name their range in their key
+  RowStates v1_rows;                                    // rows of format 1, which are numbered
+  std::vector<std::string> chunk_keys;                  // further keys over which its own row is split
+  std::optional<Time> effective_deadline;               // latest end for it and all its dependents to be in time
+  Time ready_at{};                                      // when its last dependency was done
+  std::set<JobId> open_dependencies;                    // dependencies that are not known to be done
+  // The following members are kept in memory only.
   std::map<std::uint32_t, MachineId> placed;              // tasks that may be on a machine
-  std::set<std::pair<std::uint32_t, MachineId>> orphans;  // found on a second machine besides, never on the same
-  std::set<std::uint32_t> requeued;                       // came back, to be started again
-  std::uint32_t next_unstarted = 0;                       // no index from here on was ever started
+  std::set<std::pair<std::uint32_t, MachineId>> orphans;  // further machines of tasks found on more than one
+  std::set<std::uint32_t> requeued;                       // tasks to be started again
+  std::uint32_t next_unstarted = 0;                       // no task from this index on was ever started
   Time not_before{};
   int failures = 0;
-  int failed_waves = 0;             // times that it failed, all tasks of one moment together, since the last result
-  std::set<MachineId> failed_on;    // and nothing was done since
-  std::uint32_t failed_before = 0;  // machines that it failed on under earlier leaders
-  std::uint32_t running = 0;        // tasks reported as running
-  bool suspect = false;             // fails wherever it goes: most likely it was submitted with a mistake
+  int failed_waves = 0;             // failures since the last result; tasks that fail at the same time count once
+  std::set<MachineId> failed_on;    // machines on which it failed since the last result
+  std::uint32_t failed_before = 0;  // number of machines on which it failed under earlier leaders
+  std::uint32_t running = 0;        // number of tasks reported as running
+  bool suspect = false;             // fails on every machine, most likely because it was submitted with an error
   bool limit_logged = false, all_run_logged = false;
-  double total_run_s = 0;                            // run time of its tasks that are over, under this leader
-  bool start_counted = false, late_counted = false;  // in the service record
+  double total_run_s = 0;                            // total run time of its ended tasks under this leader
+  bool start_counted = false, late_counted = false;  // counted in the service record
   Time waiting_since{};
   Time preempt_after{};
-  std::optional<Time> capacity_expected_at;  // when machines that are on their way will have room for all of it
+  std::optional<Time> capacity_expected_at;  // when new machines will have capacity for all of it
 
-  void reset_urgency();  // as its user stated it
-  // The one function that changes the phase; an end is for good.
+  void reset_urgency();  // restores the submitted priority and deadline
+  // Changes the phase; the only function that does so. Returns false if the job has already ended in another phase.
   bool transition_to(JobPhase next);
-  // Tasks that may be placed now; 0 while it is blocked or over.
+  // Returns the number of tasks that may be placed; 0 if the job is blocked or has ended.
   [[nodiscard]] std::uint32_t pending_tasks() const;
   [[nodiscard]] std::optional<std::uint32_t> next_pending() const;
-  // Tasks that are not done.
+  // Returns the number of tasks that are not done.
   [[nodiscard]] std::uint32_t unfinished() const { return spec.tasks - done.count(); }
-  // The task is placed on the machine.
+  // Records that the task is placed on the machine.
   void assign(std::uint32_t index, const MachineId& machine);
-  // The task is on no machine any more.
+  // Records that the task is on no machine; it becomes pending unless it is done or the job has ended.
   void return_to_pending(std::uint32_t index);
-  // A task of an array completed, also one that this leader did not start.
+  // Records that a task of an array completed, including a task that this leader did not start.
   void complete(std::uint32_t index);
-  // May be there: as the one place of the task, or besides another.
+  // Records that the task may be on the machine: as its only placement, or as an orphan if it is placed on another one.
   void record_placement(std::uint32_t index, const MachineId& machine);
-  // On so many machines it failed while nothing of it was done, under earlier leaders too.
+  // Returns the number of machines on which the job failed while none of its tasks was done, including under earlier
+  // leaders.
   [[nodiscard]] std::uint32_t failed_machines() const {
     return failed_before + static_cast<std::uint32_t>(failed_on.size());
   }
--- a/src/core/model/policy.hpp
+++ b/src/core/model/policy.hpp
@@ -1,4 +1,4 @@
-// Constants of the installation. Operators may override them in their properties file.
+// Tuning parameters of an installation. Operators may override them in their properties file.
 #pragma once
 #include <map>
 #include <string>
@@ -8,61 +8,61 @@
 
 namespace martenwall {
 
-// Defaults stand in policy.cpp; a configuration change may replace some of them while the service runs.
+// The defaults are set in policy.cpp; a configuration change may replace some of the values while the service runs.
 struct Policy {
-  Policy();  // the defaults, in policy.cpp
+  Policy();  // sets the defaults
 
-  // Deadline curve f1 (paper: Max 10, Min 0.1). It must weigh more than any other heuristic.
+  // Deadline curve f1 (the paper uses Max 10, Min 0.1). Its maximum must exceed the weight of any other heuristic.
   double deadline_max;
   double deadline_min;
   double deadline_k;
-  double wait_weight;   // Wait minimization
-  double input_weight;  // Input: images already cached
-  double aging_weight;  // Anti-aging, per second waited
+  double wait_weight;   // wait minimization
+  double input_weight;  // machines that have the image cached
+  double aging_weight;  // anti-aging, per second waited
   double aging_cap;
-  double priority_weight;      // per step of priority
+  double priority_weight;      // per priority level
   double guarantee_weight;     // work within its team's guarantee
-  double packing_weight;       // fuller machines first, so that whole ones stay free
-  double spot_weight;          // spot machines for those who may use them
-  double begin_weight;         // arrays of which nothing began for two minutes: for one task of each; 0: off
-  double shortage_weight;      // what cannot be in time, in a shortage: per time that it misses; 0: off
-  double shortage_efficiency;  // part of the room freed that is counted on for running work, 0 to 1
-  // Rounds and fleet
+  double packing_weight;       // prefers fuller machines, so that whole machines stay free
+  double spot_weight;          // spot machines, for jobs that may use them
+  double begin_weight;         // the first task of an array of which no task began for two minutes; 0: off
+  double shortage_weight;      // penalty in a shortage for each target that a job is expected to miss; 0: off
+  double shortage_efficiency;  // fraction of the freed capacity that is counted on for running work, 0 to 1
+  // Scheduling cycles and fleet
   Duration cycle_interval;
   Duration idle_release;
-  Duration quiet_period;        // without a submission for so long, idle machines go back after
-  Duration quiet_idle_release;  // this time already
+  Duration quiet_period;        // if no job is submitted for this long,
+  Duration quiet_idle_release;  // idle machines are released after this time
   int warm_machines;
-  double reserve_deviations;   // idle machines kept: scatter of the load's growth over a boot, times this
-  Duration surplus_release;    // idle machines beyond that go back after
-  double boot_timeout_factor;  // times the nominal boot time before a machine is given up
+  double reserve_deviations;   // idle reserve: standard deviation of the load's growth during a boot, times this factor
+  Duration surplus_release;    // idle machines beyond the reserve are released after this time
+  double boot_timeout_factor;  // multiple of the nominal boot time after which a machine is abandoned
   Duration capacity_retry;
-  Duration lost_timeout;           // how long a machine may be lost, and not listed as failed, until it is returned
-  Duration best_effort_spot_wait;  // so long a team without guarantee keeps to spot machines
-  Duration best_effort_spot_wait_without_spot;  // the same where there is no spot machine at all
+  Duration lost_timeout;           // a lost machine that is not listed as failed is released after this time
+  Duration best_effort_spot_wait;  // how long work of a team without guarantee is restricted to spot machines
+  Duration best_effort_spot_wait_without_spot;  // the same if there is no spot machine
   bool direct_starts;
-  bool reserve_limit_headroom;  // a row that its team's limit keeps waiting is left room for one task by those after it
-  bool allow_unsaved_stops;     // a lone task is stopped for others without saving where that costs less
-  int error_limit;              // failures in a row of different jobs: quarantine
-  int suspect_machines;         // a job that failed on so many, with nothing done, is suspect
+  bool reserve_limit_headroom;  // rows after one that waits for its team's limit leave it headroom for a task
+  bool allow_unsaved_stops;     // a task that is not in a gang is preempted without saving if that costs less
+  int error_limit;              // consecutive failures of different jobs after which a machine is quarantined
+  int suspect_machines;         // number of machines with failures, and no task done, from which a job is suspect
   // Workers
-  bool relay_heartbeats;       // followers take workers' heartbeats and forward them
-  double relay_leader_weight;  // part of a follower's share of the workers that report to the leader itself
-  int metrics_port;            // of a listener on loopback that serves /metrics; 0: none
+  bool relay_heartbeats;       // followers accept workers' heartbeats and forward them
+  double relay_leader_weight;  // the leader's share of directly reporting workers, as a fraction of a follower's share
+  int metrics_port;            // port of the loopback listener that serves /metrics; 0: none
   // Leadership
   Duration lease_ttl;
   Duration renew_interval;
   Duration lease_margin;
 };
 
-// How soon the users want work to start, from the settings' objectives.
+// Start and completion objectives for jobs, from the settings.
 struct StartObjectives {
   std::map<std::string, std::vector<double>> start_s_by_class;  // seconds from the submission
-  double guarantee_start_s = 0;                                 // for work within its team's guarantee; 0: none asked
-  std::map<std::string, std::vector<double>> deadline_multiples_by_class;  // times its deadline within which to be done
+  double guarantee_start_s = 0;                                 // for work within its team's guarantee; 0: no objective
+  std::map<std::string, std::vector<double>> deadline_multiples_by_class;  // multiples of the deadline for completion
 };
 
-// The protocol's times for workers, seconds.
+// Time limits of the worker protocol, in seconds.
 struct WorkerTimings {
   double heartbeat_interval_s = 3, lease_s = 20, gang_wait_s = 50, gang_peer_s = 4, cancel_s = 40;
 };
--- a/src/core/model/quota_usage.hpp
+++ b/src/core/model/quota_usage.hpp
@@ -1,4 +1,4 @@
-// What each team's tasks may be using at this moment, against its limit.
+// Resources that each team's tasks may be using, compared with the team's limit and guarantee.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -8,40 +8,40 @@
 
 namespace martenwall {
 
-// Sums by team; a copy can be used to try placements out.
+// Sums by team. A copy can be used to evaluate trial placements.
 class QuotaUsage {
  public:
   explicit QuotaUsage(const std::map<std::string, Team>& teams) : teams_(teams) {}
-  // `times` may be negative.
+  // Adds `r` times `times`, which may be negative, to the team's usage.
   void add(const std::string& team, const Resources& r, double times = 1) { used_[team].add(r, times); }
   [[nodiscard]] Resources used(const std::string& team) const {
     const auto it = used_.find(team);
     return it == used_.end() ? Resources{} : it->second;
   }
   [[nodiscard]] const std::map<std::string, Resources>& all() const { return used_; }
-  // How many tasks of this need the team may add without passing its limit, or what is to be left free of it.
+  // Returns how many more tasks of this need the team may run within its limit less `reserved`.
   [[nodiscard]] std::uint32_t max_additional_tasks(const std::string& team, const Resources& need,
                                                    const Resources& reserved = {}) const {
     const auto it = teams_.find(team);
     if (it == teams_.end()) return 0;
-    auto u = used(team);
-    u.add(reserved);
-    return std::min(max_tasks(it->second.limit.cpus, u.cpus, need.cpus),
-                    max_tasks(it->second.limit.gpus, u.gpus, need.gpus));
+    auto usage = used(team);
+    usage.add(reserved);
+    return std::min(max_tasks(it->second.limit.cpus, usage.cpus, need.cpus),
+                    max_tasks(it->second.limit.gpus, usage.gpus, need.gpus));
   }
-  // Whether the team uses more than its guaranteed quota, or has none.
+  // Returns whether the team uses more than its guaranteed quota or has none.
   [[nodiscard]] bool over_guarantee(const std::string& team) const {
     const auto it = teams_.find(team);
     if (it == teams_.end()) return true;
-    const auto u = used(team);
-    const auto& g = it->second.guarantee;
-    if (g.cpus <= 0 && g.gpus <= 0) return true;  // no guarantee at all: all of it is borrowed
-    return exceeds(it->second.guarantee.cpus, u.cpus) || exceeds(it->second.guarantee.gpus, u.gpus);
+    const auto usage = used(team);
+    const auto& guarantee = it->second.guarantee;
+    if (guarantee.cpus <= 0 && guarantee.gpus <= 0) return true;  // without a guarantee, all usage is borrowed
+    return exceeds(it->second.guarantee.cpus, usage.cpus) || exceeds(it->second.guarantee.gpus, usage.gpus);
   }
 
  private:
-  // In the settings a limit of 0 means that none is set for that kind of resource: both
-  // deployments give cpus_max 0 for teams whose tasks all use CPUs.
+  // In the settings, a limit of 0 means that the resource is unlimited: both deployments set cpus_max to 0 for teams
+  // whose tasks all use CPUs.
   static std::uint32_t max_tasks(double limit, double used, double need) {
     constexpr std::uint32_t unlimited = 1'000'000;
     if (limit <= 0 || need <= 0) return unlimited;
--- a/src/core/persistence/machine_row_groups.hpp
+++ b/src/core/persistence/machine_row_groups.hpp
@@ -1,4 +1,4 @@
-// Which machines share a row of machine records in the store.
+// Assigns machines to the groups that share a row of machine records in the store.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -8,9 +8,10 @@
 
 namespace martenwall {
 
+// The members of each group, by group number.
 class MachineRowGroups {
  public:
-  // The machine's group; one with room for it where it has none yet.
+  // Returns the machine's group; assigns the first group with space if it has none.
   std::uint32_t assign(Machine& machine, std::size_t group_size) {
     if (!machine.group) {
       std::uint32_t group = 0;
--- a/src/core/persistence/row_tracker.cpp
+++ b/src/core/persistence/row_tracker.cpp
@@ -6,11 +6,13 @@
 namespace martenwall {
 
 namespace {
-constexpr std::size_t max_stored_images = 12;              // of a machine, most recently used first
-constexpr Duration machine_row_delay = seconds(4);         // images of the machines in a row come one by one
-constexpr Duration removal_delay = seconds(2);             // rows that only a later leader would read
-constexpr Duration successor_retry_delay = seconds(0.05);  // until a row waits for its successors again
-constexpr Duration unsplittable_retry_delay = seconds(1);  // until a row that cannot be split is tried again
+constexpr std::size_t max_stored_images = 12;  // per machine, most recently used first
+constexpr Duration machine_row_delay =
+    seconds(4);  // collects image changes of the machines in a row, which arrive one by one
+constexpr Duration removal_delay = seconds(2);  // for rows that only a later leader would read
+constexpr Duration successor_retry_delay =
+    seconds(0.05);  // before a row checks again whether its successors are stored
+constexpr Duration unsplittable_retry_delay = seconds(1);  // before a row that cannot be split is retried
 }  // namespace
 
 // ---- loading ----
@@ -27,7 +29,7 @@
 
 void RowTracker::finish_load(Job& job, Time now) {
   if (format_.range_rows) migrate_v1_rows(job, now);
-  // What a crash left of a row that was being split is written before anything that it tells of changes.
+  // Ranges left unstored by a crash during a split are written before anything that they cover changes.
   for (const auto& [first, range] : job.task_ranges) {
     if (range.in_store == 0) queue_.add({RowKind::tasks, job.spec.id.value(), first}, now, WritePriority::deferrable);
   }
@@ -36,7 +38,7 @@
 
 // ---- marking ----
 
-// Best-effort work takes what others leave, here too.
+// Rows of best-effort work also have lower write priority.
 WritePriority RowTracker::priority_of(const Job& job) const {
   return state_.is_best_effort(job) ? WritePriority::best_effort : WritePriority::foreground;
 }
@@ -44,7 +46,7 @@
 WritePriority RowTracker::priority_of(const RowKey& key) const {
   const Job* job = std::as_const(state_).find_job(JobId{key.id});
   if (job == nullptr) return WritePriority::deferrable;
-  // A cancellation's user waits for the answer, whoever it is; so do jobs that depend on this one.
+  // The user who cancelled a job waits for the response, whatever the job's priority; dependent jobs wait for its end.
   const bool waited_for = dependencies_.has_dependents(job->spec.id) || job->phase == JobPhase::cancelled;
   return key.kind == RowKind::final_job && waited_for ? WritePriority::foreground : priority_of(*job);
 }
@@ -71,7 +73,8 @@
   const RowKey key{RowKind::final_job, job.spec.id.value(), 0};
   queue_.add(key, now, priority_of(key));
   if (job.phase != JobPhase::done) return;
-  // Its end says more than its tasks' ends would: one change fewer for each job, which a swarm of small ones needs.
+  // The job's end replaces the ends of its tasks. This saves one write per job, which matters for large numbers of
+  // small jobs.
   for_each_row(job, format_, [&](const RowKey& row, const Job::RowState&) { queue_.remove(row); });
 }
 
@@ -81,7 +84,7 @@
 
 void RowTracker::queue_removal(Job& job, Time now) { queue_rows(job, now + removal_delay, WritePriority::deferrable); }
 
-// ---- rows of format 2 take the place of rows of format 1 ----
+// ---- migration from format 1 to format 2 ----
 
 void RowTracker::use_range_rows(Time now) {
   if (std::exchange(format_.range_rows, true)) return;
@@ -102,48 +105,50 @@
   return count;
 }
 
-// Each index that a row of format 1 tells of gets a range. What that row says counts until the range's own row is
-// stored: so it is removed last, and a crash in between loses nothing.
+// Adds ranges for all indices that rows of format 1 have information about. The row of format 1 remains valid until the
+// range's own row is stored, so it is removed last and a crash in between loses nothing.
 void RowTracker::migrate_v1_rows(Job& job, Time now) {
   for (const auto& [first, row] : job.v1_rows) {
-    const RowKey old{RowKind::tasks_v1, job.spec.id.value(), first / format_.v1_row_size};
-    queue_.remove(old);
+    const RowKey v1_key{RowKind::tasks_v1, job.spec.id.value(), first / format_.v1_row_size};
+    queue_.remove(v1_key);
     const bool dirty = row.changed > row.stored;
     const auto end = v1_row_end(job, first, format_);
-    for (auto i = first; i < end;) {
+    for (auto index = first; index < end;) {
       const auto range_count = job.task_ranges.size();
-      const auto range = find_or_add_range(job, i, format_);
-      i = range->first + range->second.size;
+      const auto range = find_or_add_range(job, index, format_);
+      index = range->first + range->second.size;
       if (job.task_ranges.size() == range_count) continue;
       range->second.changed = row.changed;
       range->second.stored = row.stored;
       queue_.add({RowKind::tasks, job.spec.id.value(), range->first}, now,
                  dirty ? priority_of(job) : WritePriority::deferrable);
     }
-    if (is_superseded(job, first, format_)) queue_.add(old, now + removal_delay, WritePriority::deferrable);
+    if (is_superseded(job, first, format_)) queue_.add(v1_key, now + removal_delay, WritePriority::deferrable);
   }
 }
 
 void RowTracker::queue_superseded(const Job& job, std::uint32_t first, std::uint32_t size, Time now) {
-  for (const auto& [old, row] : job.v1_rows) {
-    if (row.in_store == 0 || old >= first + size || old + row.size <= first) continue;
-    if (!is_superseded(job, old, format_)) continue;
-    queue_.add({RowKind::tasks_v1, job.spec.id.value(), old / format_.v1_row_size}, now, WritePriority::deferrable);
+  for (const auto& [v1_first, row] : job.v1_rows) {
+    if (row.in_store == 0 || v1_first >= first + size || v1_first + row.size <= first) continue;
+    if (!is_superseded(job, v1_first, format_)) continue;
+    queue_.add({RowKind::tasks_v1, job.spec.id.value(), v1_first / format_.v1_row_size}, now,
+               WritePriority::deferrable);
   }
 }
 
-// A row whose range became shorter is written only once all the rows are stored that took over the rest of it.
+// Returns whether all rows that took over part of this row's range are stored. Only then may the shortened row be
+// written. Queues those that are not stored.
 bool RowTracker::successors_stored(const Job& job, std::uint32_t first, Time now) {
   const auto range = job.task_ranges.find(first);
   if (range == job.task_ranges.end() || range->second.in_store <= range->second.size || job.end_is_stored) return true;
   const auto end = first + range->second.in_store;
-  bool all = true;
+  bool all_stored = true;
   for (auto it = std::next(range); it != job.task_ranges.end() && it->first < end; ++it) {
     if (it->second.in_store > 0) continue;
-    all = false;
+    all_stored = false;
     queue_.add({RowKind::tasks, job.spec.id.value(), it->first}, now, priority_of(job));
   }
-  return all;
+  return all_stored;
 }
 
 bool RowTracker::split_row(const RowWrite& write, Time now) {
@@ -178,7 +183,7 @@
          (deferrable && queue_.ready(WritePriority::deferrable, now));
 }
 
-// False: the row is queued again, or will be when the last row that takes its place is stored.
+// Returns false if the row must wait: it is queued again now, or once the last row that replaces it is stored.
 bool RowTracker::is_due(const RowKey& key, Time now) {
   const Job* job = std::as_const(state_).find_job(JobId{key.id});
   if (job == nullptr || key.kind == RowKind::machines) return true;
@@ -237,7 +242,7 @@
   if (row == rows.end()) return;
   write.generation = row->second.changed;
   write.size = row->second.size;
-  // Once all nodes read format 2, a row of format 1 is left as it is until it can go.
+  // Once all nodes read format 2, a row of format 1 stays unchanged until it can be removed.
   if (!is_v1 || !is_superseded(job, first, format_)) write.tasks = build_task_row(job, first, write.size);
   if (write.tasks) write.tasks->is_v1 = is_v1;
 }
@@ -256,9 +261,9 @@
   const auto add_placed = [&](std::uint32_t index, const MachineId& id) {
     const auto machine = state_.machines.find(id);
     if (machine == state_.machines.end()) return;
-    for (const auto& p : machine->second.placements) {
-      if (p.occupies() && p.task.index == index && p.task.job == job.spec.id) {
-        row.placed.push_back({index, p.attempt, id, machine->second.zone});
+    for (const auto& placement : machine->second.placements) {
+      if (placement.occupies() && placement.task.index == index && placement.task.job == job.spec.id) {
+        row.placed.push_back({index, placement.attempt, id, machine->second.zone});
       }
     }
   };
@@ -278,7 +283,7 @@
                        machine.addr,        machine.type,
                        machine.zone,        machine.spot,
                        machine.incarnation, {}};
-  // A new leader that knows no caches would send everyone to machines without the image.
+  // Without cache contents, a new leader would place tasks on machines that lack the image.
   for (const auto& image : machine.images) {
     if (image.ready && record.images.size() < max_stored_images) {
       record.images.emplace_back(state_.image_names.at(image.id.value()), image.gb);
@@ -287,7 +292,7 @@
   return record;
 }
 
-// ---- written ----
+// ---- stored ----
 
 void RowTracker::on_stored(const RowWrite& write, Time now) {
   queue_.finish_write(write.key);
@@ -305,7 +310,7 @@
     row->second.stored = std::max(row->second.stored, write.generation);
     row->second.in_store = write.tasks ? write.size : 0;
   }
-  // What was written holds for ranges that were split off since, too: until their own rows are stored, this one counts.
+  // The write also covers ranges that were split off since: until their own rows are stored, this row counts for them.
   auto range = job->task_ranges.lower_bound(first);
   for (; range != job->task_ranges.end() && range->first < end; ++range) {
     range->second.stored = std::max(range->second.stored, write.generation);
@@ -321,11 +326,11 @@
   if (it == state_.jobs.end()) return;
   const Job& job = it->second;
   if (!job.end_is_stored || !job.placed.empty() || !job.orphans.empty()) return;
-  bool any = false;
+  bool has_rows = false;
   for_each_row(job, format_, [&](const RowKey& key, const Job::RowState& row) {
-    any = any || row.in_store > 0 || queue_.contains(key);
+    has_rows = has_rows || row.in_store > 0 || queue_.contains(key);
   });
-  if (!any) state_.jobs.erase(it);
+  if (!has_rows) state_.jobs.erase(it);
 }
 
 bool RowTracker::is_stored(const Placement& placement) const {
--- a/src/core/persistence/row_tracker.hpp
+++ b/src/core/persistence/row_tracker.hpp
@@ -1,6 +1,6 @@
-// Which rows of the store are out of date, what they are to hold, and which of them may be removed. A row is queued
-// when something that it tells of changes; its content is made up when it is taken for writing, so that many changes
-// cost one write. What a new leader finds is argued in docs/safety.md, "A task on one machine only".
+// Tracks which rows in the store are out of date, what they should contain and which of them may be removed. A row is
+// queued when something that it covers changes. Its content is built when it is dequeued for writing, so that many
+// changes take one write. docs/safety.md, "A task on one machine only", shows what a new leader finds.
 #pragma once
 #include <optional>
 #include <vector>
@@ -14,48 +14,51 @@
 
 namespace martenwall {
 
+// Write tracking for the rows of jobs, tasks and machines.
 class RowTracker {
  public:
   RowTracker(ClusterState& state, const DependencyTracker& dependencies, const RowFormat& format)
       : state_(state), dependencies_(dependencies), format_(format) {}
 
-  // Something that the row of this task tells of changed; the row is written after `delay`. Returns the generation that
-  // the row must be stored with before anything may rest on the change.
+  // Queues the row of this task to be written after `delay`. Returns the generation with which the row must be stored
+  // before anything may depend on the change.
   Generation mark_dirty(Job& job, std::uint32_t index, Duration delay, Time now);
-  // The same of a machine's record, on which nothing rests.
+  // Queues the row of the machine's record, on which nothing depends.
   void mark_dirty(Machine& machine, Time now);
-  // The machine is no longer part of the fleet.
+  // Removes the record of a machine that left the fleet.
   void remove_machine(const Machine& machine, Time now);
-  // The job ended: its end is to be stored. Of a job that is done its task rows need not be written any more.
+  // Queues the job's end to be stored. If the job is done, its queued task rows are dropped: they need not be written.
   void queue_end(const Job& job, Time now);
 
-  // While a new leader loads what is stored.
+  // Called while a new leader loads the stored rows.
   void load_machine_group(Machine& machine, std::uint32_t group) { machine_groups_.add(machine, group); }
   void load_row_state(Job& job, const TaskRow& row);
   void finish_load(Job& job, Time now);
 
-  // From now on all nodes read rows of format 2; rows of format 1 are replaced one by one.
+  // Switches to rows of format 2, once all nodes can read them; rows of format 1 are replaced one by one.
   void use_range_rows(Time now);
   [[nodiscard]] bool uses_range_rows() const { return format_.range_rows; }
   void set_row_sizes(std::uint32_t range_size, std::size_t group_size);
-  [[nodiscard]] std::size_t v1_row_count() const;  // in the store, to be replaced
+  [[nodiscard]] std::size_t v1_row_count() const;  // rows of format 1 in the store that are still to be replaced
 
-  // The rows to be written now, at most `most`; each counts as being written until one of the three functions below is
-  // called for it. `deferrable`: also rows that nobody waits for, where there are no others.
+  // Returns up to `max_rows` rows to be written. Each counts as being written until `on_stored`, `split_row` or
+  // `requeue` is called for it. `deferrable`: if no other row is due, also returns rows that nothing waits for.
   std::vector<RowWrite> take_writes(std::size_t max_rows, bool deferrable, Time now);
   [[nodiscard]] bool has_writes(bool deferrable, Time now) const;
-  // The row was written.
+  // Records that the row was written.
   void on_stored(const RowWrite& write, Time now);
-  // The row was not written, since it is too large. False where it cannot be split any further.
+  // Splits a row that was not written because it is too large. Returns false if it cannot be split further.
   bool split_row(const RowWrite& write, Time now);
-  // The rows were not written; they are due again after `delay`.
+  // Queues rows that were not written again, due after `delay`.
   void requeue(const std::vector<RowWrite>& writes, Duration delay, Time now);
 
-  // The end of a job is stored: its task rows go, once nothing of it is on a machine.
+  // Queues the removal of the job's task rows, for a job whose end is stored; a row is removed once none of its tasks
+  // is on a machine.
   void queue_removal(Job& job, Time now);
-  // A job leaves the memory once its end is stored and nothing of it is on a machine or in an active row.
+  // Removes the job from memory if its end is stored and no task of it is on a machine or in an active row.
   void forget_if_finished(const JobId& id);
-  // Whether what the store must hold before this placement's start (or before its end is forgotten) is stored.
+  // Returns whether the store holds what must be stored before this placement's start is sent, or before its worker
+  // drops an ended task.
   [[nodiscard]] bool is_stored(const Placement& placement) const;
   [[nodiscard]] const WriteQueue& queue() const { return queue_; }
 
--- a/src/core/persistence/task_row_layout.cpp
+++ b/src/core/persistence/task_row_layout.cpp
@@ -7,38 +7,38 @@
 
 Job::RowStates::iterator find_or_add_range(Job& job, std::uint32_t index, const RowFormat& format) {
   const auto next = job.task_ranges.upper_bound(index);
-  auto from = index / format.range_size * format.range_size;
-  auto to = from + format.range_size;
+  auto start = index / format.range_size * format.range_size;
+  auto end = start + format.range_size;
   if (next != job.task_ranges.begin()) {
     const auto before = std::prev(next);
-    const auto end = before->first + before->second.size;
-    if (index < end) return before;
-    from = std::max(from, end);
+    const auto covered = before->first + before->second.size;
+    if (index < covered) return before;
+    start = std::max(start, covered);
   }
-  if (next != job.task_ranges.end()) to = std::min(to, next->first);
+  if (next != job.task_ranges.end()) end = std::min(end, next->first);
   if (!job.v1_rows.empty()) {
-    // Within one row of format 1: what is stored of it is then stored of the whole range.
+    // The range stays within one row of format 1, so that whatever is stored of that row applies to the whole range.
     const auto first = index / format.v1_row_size * format.v1_row_size;
-    from = std::max(from, first);
-    to = std::min(to, first + format.v1_row_size);
+    start = std::max(start, first);
+    end = std::min(end, first + format.v1_row_size);
   }
-  return job.task_ranges.emplace(from, Job::RowState{to - from, {}, {}, 0}).first;
+  return job.task_ranges.emplace(start, Job::RowState{end - start, {}, {}, 0}).first;
 }
 
 void add_uncovered_ranges(Job& job, std::uint32_t first, std::uint32_t end) {
-  for (auto at = first; at < end;) {
-    const auto next = job.task_ranges.upper_bound(at);
+  for (auto index = first; index < end;) {
+    const auto next = job.task_ranges.upper_bound(index);
     if (next != job.task_ranges.begin()) {
       const auto before = std::prev(next);
       const auto covered = before->first + before->second.size;
-      if (at < covered) {
-        at = covered;
+      if (index < covered) {
+        index = covered;
         continue;
       }
     }
-    const auto to = next == job.task_ranges.end() ? end : std::min(end, next->first);
-    job.task_ranges.emplace(at, Job::RowState{to - at, {}, {}, 0});
-    at = to;
+    const auto range_end = next == job.task_ranges.end() ? end : std::min(end, next->first);
+    job.task_ranges.emplace(index, Job::RowState{range_end - index, {}, {}, 0});
+    index = range_end;
   }
 }
 
@@ -70,15 +70,15 @@
 bool is_superseded(const Job& job, std::uint32_t v1_first, const RowFormat& format) {
   if (!format.range_rows || !job.v1_rows.contains(v1_first)) return false;
   const auto placed = job.placed.lower_bound(v1_first);
-  const bool empty = placed == job.placed.end() || placed->first >= v1_first + format.v1_row_size;
-  if (job.end_is_stored && job.orphans.empty() && empty) return true;
+  const bool none_placed = placed == job.placed.end() || placed->first >= v1_first + format.v1_row_size;
+  if (job.end_is_stored && job.orphans.empty() && none_placed) return true;
   const auto end = v1_row_end(job, v1_first, format);
-  for (auto i = v1_first; i < end;) {
-    const auto next = job.task_ranges.upper_bound(i);
+  for (auto index = v1_first; index < end;) {
+    const auto next = job.task_ranges.upper_bound(index);
     if (next == job.task_ranges.begin()) return false;
     const auto& [first, range] = *std::prev(next);
-    if (range.in_store == 0 || i >= first + range.size) return false;
-    i = first + range.size;
+    if (range.in_store == 0 || index >= first + range.size) return false;
+    index = first + range.size;
   }
   return true;
 }
--- a/src/core/persistence/write_queue.hpp
+++ b/src/core/persistence/write_queue.hpp
@@ -1,5 +1,5 @@
-// Which rows are to be written, and how soon. A row is written by one transaction at a time; what changes
-// meanwhile waits for the next one, so that many changes of a row cost one write.
+// Queue of rows to be written, by priority and due time. A row is written by one transaction at a time. Changes during
+// a write wait for the next one, so that many changes of a row take one write.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -14,15 +14,15 @@
 
 // How soon a row is written.
 enum class WritePriority : std::uint8_t {
-  foreground,   // users or starts wait for it
-  best_effort,  // the same, of work that takes what others leave: gets a share, and what is left
-  deferrable,   // no rule needs it; written when there is nothing else
+  foreground,   // users or task starts wait for it
+  best_effort,  // the same for best-effort work: gets a share of the writes and those that remain
+  deferrable,   // nothing waits for it; written if no other row is due
 };
 
-// Rows by due time, one queue a priority.
+// Rows by due time, one queue per priority.
 class WriteQueue {
  public:
-  // A row that is queued already keeps the earlier time and the higher urgency.
+  // Queues a row. A row that is already queued keeps the earlier time and the higher priority.
   void add(const RowKey& key, Time due, WritePriority priority) {
     auto [it, inserted] = entries_.try_emplace(key, Entry{priority, due});
     if (!inserted) {
@@ -33,18 +33,19 @@
     }
     queue_of(it->second.priority).emplace(it->second.due, key);
   }
-  // The row need not be written any more.
+  // Removes a row that does not need to be written.
   void remove(const RowKey& key) {
     const auto it = entries_.find(key);
     if (it == entries_.end()) return;
     queue_of(it->second.priority).erase({it->second.due, key});
     entries_.erase(it);
   }
-  // The rows that are due, oldest first; they count as under way until `done`. `spare`: also those that no one
-  // waits for, where there are no others.
+  // Returns up to `max_rows` due rows, oldest first within a priority; they are in flight until `finish_write`.
+  // `deferrable`: if no other row is due, also returns deferrable rows.
   std::vector<RowKey> pop_due(std::size_t max_rows, bool deferrable, Time now) {
     std::vector<RowKey> out;
-    // Else a flood of small best-effort jobs would stop everyone's starts, or these the best-effort jobs for good.
+    // Without the share, many small best-effort jobs would block all starts, or starts would block best-effort jobs
+    // indefinitely.
     const std::size_t share = ready(WritePriority::best_effort, now) ? std::max<std::size_t>(1, max_rows / 4) : 0;
     pop_due_of(WritePriority::foreground, max_rows - std::min(max_rows, share), now, out);
     pop_due_of(WritePriority::best_effort, max_rows, now, out);
@@ -52,11 +53,11 @@
     if (out.empty() && deferrable) pop_due_of(WritePriority::deferrable, max_rows, now, out);
     return out;
   }
-  // The write of a row that `take` returned is over.
+  // Ends the write of a row that `pop_due` returned.
   void finish_write(const RowKey& key) { in_flight_.erase(key); }
-  // Whether the row is queued or being written.
+  // Returns whether the row is queued or being written.
   [[nodiscard]] bool contains(const RowKey& key) const { return entries_.contains(key) || in_flight_.contains(key); }
-  // Rows whose time has come, and for how long the first of them has waited.
+  // Number of due rows, and how long the oldest has been due.
   struct Backlog {
     std::size_t rows = 0;
     Duration oldest{0};
@@ -69,7 +70,7 @@
     }
     return out;
   }
-  // Whether `take` would return a row of this priority.
+  // Returns whether a row of this priority is due and not in flight.
   [[nodiscard]] bool ready(WritePriority priority, Time now) const {
     for (const auto& [due, key] : queues_.at(static_cast<std::size_t>(priority))) {
       if (due > now) return false;
@@ -85,7 +86,7 @@
     bool operator==(const Entry&) const = default;
   };
   using DueOrder = std::set<std::pair<Time, RowKey>>;
-  DueOrder& queue_of(WritePriority u) { return queues_.at(static_cast<std::size_t>(u)); }
+  DueOrder& queue_of(WritePriority priority) { return queues_.at(static_cast<std::size_t>(priority)); }
   void pop_due_of(WritePriority priority, std::size_t max_rows, Time now, std::vector<RowKey>& out) {
     auto& order = queue_of(priority);
     for (auto it = order.begin(); it != order.end() && it->first <= now && out.size() < max_rows;) {
--- a/src/core/placement/heuristic_table.cpp
+++ b/src/core/placement/heuristic_table.cpp
@@ -48,9 +48,10 @@
   const Policy defaults;
   std::ostringstream out;
   out << "Properties that weigh the heuristics (--properties), with their defaults:\n";
-  for (const auto& h : table) {
-    for (const auto& w : h.weights) {
-      out << "  " << w.property << " = " << defaults.*w.value << "  " << h.name << ": " << h.description << "\n";
+  for (const auto& heuristic : table) {
+    for (const auto& weight : heuristic.weights) {
+      out << "  " << weight.property << " = " << defaults.*weight.value << "  " << heuristic.name << ": "
+          << heuristic.description << "\n";
     }
   }
   return out.str();
--- a/src/core/placement/heuristic_table.hpp
+++ b/src/core/placement/heuristic_table.hpp
@@ -1,4 +1,4 @@
-// All heuristics in one place: what each is called, what it adds, which of the operators' properties weigh it.
+// Table of all heuristics: name, function, and the operator properties that set their weights.
 #pragma once
 #include <span>
 #include <string>
@@ -9,23 +9,25 @@
 
 namespace martenwall {
 
-// One number of a heuristic that operators may set, not negative.
+// A parameter of a heuristic that operators may set; not negative.
 struct HeuristicWeight {
   std::string_view property;
   double Policy::*value;
 };
 
+// A heuristic and its parameters.
 struct Heuristic {
   std::string_view name;
-  void (*apply)(const PlacementProblem& problem, ScoreMatrix& m);
+  void (*apply)(const PlacementProblem& problem, ScoreMatrix& matrix);
   std::span<const HeuristicWeight> weights;
-  std::string_view description;  // for operators, one line
+  std::string_view description;  // one line, shown to operators
 };
 
-// In the order in which they are applied: the first says where a task fits at all, the others add to those entries.
+// Returns the heuristics in the order in which they are applied: the first decides where a task fits at all; the others
+// add to the scores of those entries.
 std::span<const Heuristic> heuristic_table();
 
-// The table as text, for `--help`: a line for each property with its default and what it weighs.
+// Returns the table as text for `--help`: one line per property, with its default and its heuristic.
 std::string heuristics_help();
 
 }  // namespace martenwall
--- a/src/core/placement/heuristics.cpp
+++ b/src/core/placement/heuristics.cpp
@@ -41,48 +41,48 @@
   machines.push_back(column);
 }
 
-double deadline_curve(const Policy& p, double extime_s, double deadline_s, double nxtime_s) {
-  const double start = deadline_s - p.deadline_k * nxtime_s;
-  if (extime_s <= start || extime_s > deadline_s || deadline_s <= start) return p.deadline_min;
-  const double slope = (p.deadline_max - p.deadline_min) / (deadline_s - start);
-  return slope * (extime_s - start) + p.deadline_min;
+double deadline_curve(const Policy& policy, double extime_s, double deadline_s, double nxtime_s) {
+  const double start = deadline_s - policy.deadline_k * nxtime_s;
+  if (extime_s <= start || extime_s > deadline_s || deadline_s <= start) return policy.deadline_min;
+  const double slope = (policy.deadline_max - policy.deadline_min) / (deadline_s - start);
+  return slope * (extime_s - start) + policy.deadline_min;
 }
 
 namespace {
 
 template <class F>
-void for_allowed(const PlacementProblem& problem, const ScoreMatrix& m, std::size_t pending, F&& f) {
+void for_allowed(const PlacementProblem& problem, const ScoreMatrix& matrix, std::size_t row, F&& visit) {
   for (std::size_t c = 0; c < problem.machines.size(); ++c) {
-    if (m.allowed(pending, c)) f(c);
+    if (matrix.allowed(row, c)) visit(c);
   }
 }
 
-// Adds one value per row, the same on every machine that fits.
+// Adds one value per row, the same for every allowed machine.
 template <class F>
-void add_per_row(const PlacementProblem& problem, ScoreMatrix& m, F&& value) {
+void add_per_row(const PlacementProblem& problem, ScoreMatrix& matrix, F&& value) {
   for (std::size_t r = 0; r < problem.jobs.size(); ++r) {
     const double v = value(problem.jobs[r]);
-    for_allowed(problem, m, r, [&](std::size_t c) { m.at(r, c) += v; });
+    for_allowed(problem, matrix, r, [&](std::size_t c) { matrix.at(r, c) += v; });
   }
 }
 
 double deadline_score(const PlacementProblem& problem, const PendingJob& pending) {
   const auto& job = *pending.job;
-  // The curve lets each job wait until it is almost too late: in a shortage all would then be a little late. What is
-  // served with the least work comes first instead, so that as many as can be are in time.
+  // The curve lets each job wait until shortly before its deadline: in a shortage, all jobs would then be slightly
+  // late. Jobs with the least work are served first instead, so that as many as possible are in time.
   if (pending.shortage_order) {
     return problem.policy.deadline_min +
            *pending.shortage_order * (problem.policy.deadline_max - problem.policy.deadline_min);
   }
   if (!job.effective_deadline) return problem.policy.deadline_min;
-  // Measured from the submission; the benchmark ratio is 1, so Nxtime is the same on every machine.
+  // Measured from submission. The benchmark ratio is 1, so Nxtime is the same on every machine.
   const double extime = to_seconds(problem.now - job.submitted) + pending.estimate_s;
   return deadline_curve(problem.policy, extime, to_seconds(*job.effective_deadline - job.submitted),
                         pending.estimate_s);
 }
 
-double quantized_idle_s(const PlacementProblem& problem, const Machine& m) {
-  const double idle_s = std::max(0.0, to_seconds(problem.now - m.idle_since));
+double quantized_idle_s(const PlacementProblem& problem, const Machine& machine) {
+  const double idle_s = std::max(0.0, to_seconds(problem.now - machine.idle_since));
   return problem.idle_granularity_s > 0 ? std::floor(idle_s / problem.idle_granularity_s) * problem.idle_granularity_s
                                         : idle_s;
 }
@@ -91,7 +91,7 @@
 
 namespace heuristics {
 
-void minimal_requirements(const PlacementProblem& problem, ScoreMatrix& m) {
+void minimal_requirements(const PlacementProblem& problem, ScoreMatrix& matrix) {
   for (std::size_t r = 0; r < problem.jobs.size(); ++r) {
     const auto& job = *problem.jobs[r].job;
     const auto allowed = allowed_kinds(job.spec, problem.kinds);
@@ -102,111 +102,114 @@
       if (problem.jobs[r].spot_only && !candidate.machine->spot) continue;
       const bool reserved = candidate.machine->reserved_for && *candidate.machine->reserved_for != job.spec.id &&
                             problem.now < candidate.machine->reserved_until;
-      // A task is not sent back to where it failed, unless it fails wherever it goes.
+      // A task does not return to a machine on which its job failed, unless the job fails everywhere.
       const bool failed_here = !job.suspect && !job.failed_on.empty() && job.failed_on.contains(candidate.machine->id);
-      if (!reserved && !failed_here) m.allow(r, c);
+      if (!reserved && !failed_here) matrix.allow(r, c);
     }
   }
 }
 
-void deadline(const PlacementProblem& problem, ScoreMatrix& m) {
+void deadline(const PlacementProblem& problem, ScoreMatrix& matrix) {
   for (std::size_t r = 0; r < problem.jobs.size(); ++r) {
     const double f1 = deadline_score(problem, problem.jobs[r]);
     const double inverse = problem.policy.deadline_max - f1;
     std::size_t fitting = 0;
-    for_allowed(problem, m, r, [&](std::size_t) { ++fitting; });
+    for_allowed(problem, matrix, r, [&](std::size_t) { ++fitting; });
     if (fitting == 0) continue;
     const auto n = static_cast<double>(fitting);
-    const double urgency = f1 * n;       // sum of f1 over the fitting machines
+    const double urgency = f1 * n;       // sum of f1 over the allowed machines
     const double divisor = inverse * n;  // sum of Max - f1
     const double share = divisor > 0 ? inverse / divisor : 1.0 / n;
-    for_allowed(problem, m, r, [&](std::size_t c) { m.at(r, c) += urgency * share; });
+    for_allowed(problem, matrix, r, [&](std::size_t c) { matrix.at(r, c) += urgency * share; });
   }
 }
 
-void wait_minimization(const PlacementProblem& problem, ScoreMatrix& m) {
+void wait_minimization(const PlacementProblem& problem, ScoreMatrix& matrix) {
   double max_estimate_s = 0;
   for (const auto& pending : problem.jobs) max_estimate_s = std::max(max_estimate_s, pending.estimate_s);
   if (max_estimate_s <= 0) return;
-  add_per_row(problem, m, [&](const PendingJob& pending) {
+  add_per_row(problem, matrix, [&](const PendingJob& pending) {
     return problem.policy.wait_weight * (1 - pending.estimate_s / max_estimate_s);
   });
 }
 
-void input(const PlacementProblem& problem, ScoreMatrix& m) {
+void input(const PlacementProblem& problem, ScoreMatrix& matrix) {
   for (std::size_t r = 0; r < problem.jobs.size(); ++r) {
     const auto& job = *problem.jobs[r].job;
-    for_allowed(problem, m, r, [&](std::size_t c) {
-      // A copy on its way is worth half of one that is there; the slot is held while it comes.
+    for_allowed(problem, matrix, r, [&](std::size_t c) {
+      // An image being fetched scores half of a cached one: its task holds the slot during the fetch.
       const auto state = problem.machines[c].machine->image_state(job.image);
       const double score = job.spec.image_gb <= 0 || state == Machine::ImageState::ready ? 1.0
                            : state == Machine::ImageState::fetching                      ? 0.5
                                                                                          : 0.0;
-      m.at(r, c) += problem.policy.input_weight * score;
+      matrix.at(r, c) += problem.policy.input_weight * score;
     });
   }
 }
 
-void anti_aging(const PlacementProblem& problem, ScoreMatrix& m) {
-  add_per_row(problem, m, [&](const PendingJob& pending) {
+void anti_aging(const PlacementProblem& problem, ScoreMatrix& matrix) {
+  add_per_row(problem, matrix, [&](const PendingJob& pending) {
     const double waited = to_seconds(problem.now - pending.job->waiting_since);
     return std::min(problem.policy.aging_cap, problem.policy.aging_weight * std::max(0.0, waited));
   });
 }
 
-void priority(const PlacementProblem& problem, ScoreMatrix& m) {
-  add_per_row(problem, m, [&](const PendingJob& pending) {
+void priority(const PlacementProblem& problem, ScoreMatrix& matrix) {
+  add_per_row(problem, matrix, [&](const PendingJob& pending) {
     return problem.policy.priority_weight * static_cast<double>(pending.job->priority);
   });
 }
 
-void guarantee(const PlacementProblem& problem, ScoreMatrix& m) {
-  add_per_row(problem, m, [&](const PendingJob& pending) {
+void guarantee(const PlacementProblem& problem, ScoreMatrix& matrix) {
+  add_per_row(problem, matrix, [&](const PendingJob& pending) {
     return pending.within_guarantee ? problem.policy.guarantee_weight : 0.0;
   });
 }
 
-void packing(const PlacementProblem& problem, ScoreMatrix& m) {
-  std::vector<double> score;
-  score.reserve(problem.machines.size());
+void packing(const PlacementProblem& problem, ScoreMatrix& matrix) {
+  std::vector<double> scores;
+  scores.reserve(problem.machines.size());
   for (const auto& candidate : problem.machines) {
-    const double cpu = candidate.type->capacity.cpus > 0 ? candidate.free.cpus / candidate.type->capacity.cpus : 0;
-    const double gpu = candidate.type->capacity.gpus > 0 ? candidate.free.gpus / candidate.type->capacity.gpus : cpu;
-    // Of empty machines those that idle shortest: the others are then idle for good and can go back.
-    const double recent =
+    const double free_cpus =
+        candidate.type->capacity.cpus > 0 ? candidate.free.cpus / candidate.type->capacity.cpus : 0;
+    const double free_gpus =
+        candidate.type->capacity.gpus > 0 ? candidate.free.gpus / candidate.type->capacity.gpus : free_cpus;
+    // Prefers the empty machines that became idle most recently, so that the others stay idle and can be released.
+    const double recently_used =
         candidate.machine->empty() ? 0.2 / (1 + quantized_idle_s(problem, *candidate.machine) / 10) : 0.0;
-    score.push_back(problem.policy.packing_weight * (1 - std::min(cpu, gpu) + recent));
+    scores.push_back(problem.policy.packing_weight * (1 - std::min(free_cpus, free_gpus) + recently_used));
   }
   for (std::size_t r = 0; r < problem.jobs.size(); ++r) {
-    for_allowed(problem, m, r, [&](std::size_t c) { m.at(r, c) += score[c]; });
+    for_allowed(problem, matrix, r, [&](std::size_t c) { matrix.at(r, c) += scores[c]; });
   }
 }
 
-// Work that cannot be in time any more leaves the room to work that can, and is done after it.
-void shortage(const PlacementProblem& problem, ScoreMatrix& m) {
+// Work that can no longer be in time yields its capacity to work that can, and is done after it.
+void shortage(const PlacementProblem& problem, ScoreMatrix& matrix) {
   if (problem.policy.shortage_weight <= 0) return;
-  add_per_row(problem, m, [&](const PendingJob& pending) {
+  add_per_row(problem, matrix, [&](const PendingJob& pending) {
     return -problem.policy.shortage_weight * pending.expected_missed_targets;
   });
 }
 
-// However much is wanted, each job begins: its users are told that the largest too begin within four minutes.
-void beginning(const PlacementProblem& problem, ScoreMatrix& m) {
+// Each job begins even under overload: users are promised that the largest jobs also begin within four minutes.
+void beginning(const PlacementProblem& problem, ScoreMatrix& matrix) {
   if (problem.policy.begin_weight <= 0) return;
-  add_per_row(problem, m,
+  add_per_row(problem, matrix,
               [&](const PendingJob& pending) { return pending.begin_overdue ? problem.policy.begin_weight : 0.0; });
 }
 
-// Jobs that fail wherever they go take what the others leave.
-void suspicion(const PlacementProblem& problem, ScoreMatrix& m) {
+// Places jobs that fail on every machine after all others.
+void suspicion(const PlacementProblem& problem, ScoreMatrix& matrix) {
   constexpr double suspect_penalty = 1000;
-  add_per_row(problem, m, [&](const PendingJob& pending) { return pending.job->suspect ? -suspect_penalty : 0.0; });
+  add_per_row(problem, matrix,
+              [&](const PendingJob& pending) { return pending.job->suspect ? -suspect_penalty : 0.0; });
 }
 
-void spot_preference(const PlacementProblem& problem, ScoreMatrix& m) {
+void spot_preference(const PlacementProblem& problem, ScoreMatrix& matrix) {
   for (std::size_t r = 0; r < problem.jobs.size(); ++r) {
-    for_allowed(problem, m, r, [&](std::size_t c) {
-      if (problem.machines[c].machine->spot) m.at(r, c) += problem.policy.spot_weight;
+    for_allowed(problem, matrix, r, [&](std::size_t c) {
+      if (problem.machines[c].machine->spot) matrix.at(r, c) += problem.policy.spot_weight;
     });
   }
 }
@@ -215,7 +218,8 @@
 
 namespace {
 
-// Columns on which one task of the row fits into what `room` leaves, those with its image first.
+// Returns by zone the columns on which one task of the row fits into `free`, those with its image first. If the job is
+// not restricted to one zone, all columns are under an empty name.
 std::map<std::string, std::vector<std::size_t>> gang_candidate_columns(const PlacementProblem& problem,
                                                                        const PendingJob& pending,
                                                                        const std::vector<Resources>& free) {
@@ -226,10 +230,10 @@
   for (std::size_t c = 0; c < problem.machines.size(); ++c) {
     const auto& candidate = problem.machines[c];
     if (allowed[candidate.kind] == 0 || !job.spec.need.fits_in(free[c])) continue;
-    const auto& m = *candidate.machine;
-    if (m.reserved_for && *m.reserved_for != job.spec.id) continue;
+    const auto& machine = *candidate.machine;
+    if (machine.reserved_for && *machine.reserved_for != job.spec.id) continue;
     auto& columns = group[candidate.kind];
-    if (columns == nullptr) columns = &by_zone[job.spec.one_zone ? m.zone : std::string{}];
+    if (columns == nullptr) columns = &by_zone[job.spec.one_zone ? machine.zone : std::string{}];
     columns->push_back(c);
   }
   for (auto& [zone, columns] : by_zone) {
@@ -266,8 +270,8 @@
 
 namespace {
 
-// What each row is worth on an empty machine, whether one is free now or not.
-std::vector<double> best_score_of_jobs(const PlacementProblem& problem, const std::vector<MachineType>& types) {
+// Returns the best score of each row on an empty machine, whether or not one is free.
+std::vector<double> best_scores_of_jobs(const PlacementProblem& problem, const std::vector<MachineType>& types) {
   std::deque<Machine> machines;
   PlacementProblem empty{problem.now, problem.policy, problem.jobs, {}};
   for (const auto& type : types) {
@@ -301,12 +305,11 @@
 
 void reserve_limit_headroom(PlacementProblem& problem, QuotaUsage used, const std::vector<MachineType>& types) {
   if (!limit_binds(problem, used)) return;
-  const auto score = best_score_of_jobs(problem, types);
+  const auto scores = best_scores_of_jobs(problem, types);
   std::vector<std::size_t> order(problem.jobs.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
-  std::ranges::stable_sort(order, [&](auto a, auto b) { return score[a] > score[b]; });
-  std::map<std::string, const Job*>
-      blocked_by_limit;  // of each team the best row that its limit does not let start whole
+  std::ranges::stable_sort(order, [&](auto a, auto b) { return scores[a] > scores[b]; });
+  std::map<std::string, const Job*> blocked_by_limit;  // by team, the best row that cannot start whole
   for (const auto r : order) {
     auto& pending = problem.jobs[r];
     const auto& spec = pending.job->spec;
@@ -323,9 +326,9 @@
 }
 
 ScoreMatrix build_scores(const PlacementProblem& problem) {
-  ScoreMatrix m{problem.jobs.size(), problem.machines.size()};
-  for (const auto& h : heuristic_table()) h.apply(problem, m);
-  return m;
+  ScoreMatrix matrix{problem.jobs.size(), problem.machines.size()};
+  for (const auto& heuristic : heuristic_table()) heuristic.apply(problem, matrix);
+  return matrix;
 }
 
 }  // namespace martenwall
--- a/src/core/placement/matcher.cpp
+++ b/src/core/placement/matcher.cpp
@@ -34,21 +34,21 @@
 
 namespace {
 
-// A row's best entry that was not tried yet; of equal ones the first row's first column.
+// A row's best entry that has not been tried. Ties are broken by the lower row, then the lower column.
 struct RowHead {
   double value;
   std::size_t row, column;
-  bool operator<(const RowHead& o) const {
-    if (value != o.value) return value < o.value;
-    return row != o.row ? row > o.row : column > o.column;
+  bool operator<(const RowHead& other) const {
+    if (value != other.value) return value < other.value;
+    return row != other.row ? row > other.row : column > other.column;
   }
 };
 
 }  // namespace
 
-// Entries keep their value within a round, so taking each row's entries in falling order, and always the
-// row whose next one is highest, is the repeated pick of the highest entry. Rows are sorted only when
-// their turn comes: most are closed, or out of room, long before their last entry.
+// Repeatedly picks the highest entry of the matrix. Scores do not change within a cycle, so it suffices to visit each
+// row's entries in descending order and always to continue with the row whose next entry is highest. A row is sorted
+// only after its best entry was tried: most rows are complete or out of capacity long before their last entry.
 std::vector<Match> Matcher::run() {
   std::priority_queue<RowHead> heads;
   std::vector<std::vector<std::size_t>> order(problem_.jobs.size());
@@ -69,11 +69,11 @@
     if (problem_.jobs[head.row].count == 0) continue;
     auto& columns = order[head.row];
     if (columns.empty()) columns = columns_by_score(head.row);
-    // Room, slots, limits and zones only shrink within a round: what can take nothing now never will.
-    auto& n = next[head.row];
-    ++n;
-    while (n < columns.size() && !can_place(head.row, columns[n])) ++n;
-    if (n < columns.size()) heads.push({matrix_.at(head.row, columns[n]), head.row, columns[n]});
+    // Free capacity, slots, limits and zones only shrink within a cycle: a column that cannot take a task stays so.
+    auto& index = next[head.row];
+    ++index;
+    while (index < columns.size() && !can_place(head.row, columns[index])) ++index;
+    if (index < columns.size()) heads.push({matrix_.at(head.row, columns[index]), head.row, columns[index]});
   }
   return std::move(matches_);
 }
@@ -88,7 +88,7 @@
 
 std::vector<std::size_t> Matcher::allowed_columns(std::size_t row, const std::string* only_zone) const {
   std::vector<char> in_zone;
-  for (const auto& k : problem_.kinds) in_zone.push_back(only_zone == nullptr || k.zone == *only_zone ? 1 : 0);
+  for (const auto& kind : problem_.kinds) in_zone.push_back(only_zone == nullptr || kind.zone == *only_zone ? 1 : 0);
   std::vector<std::size_t> out;
   for (std::size_t c = 0; c < problem_.machines.size(); ++c) {
     if (matrix_.allowed(row, c) && in_zone[problem_.machines[c].kind] != 0) out.push_back(c);
@@ -103,23 +103,23 @@
 }
 
 void Matcher::reserve(std::size_t row, std::size_t column) {
-  auto& r = problem_.jobs[row];
-  auto& c = problem_.machines[column];
-  c.free.add(r.job->spec.need, -1);
-  --c.slots;
-  quota_usage_.add(r.job->spec.team, r.job->spec.need);
-  ++zones_[row][c.machine->zone];
-  --r.count;
+  auto& pending = problem_.jobs[row];
+  auto& candidate = problem_.machines[column];
+  candidate.free.add(pending.job->spec.need, -1);
+  --candidate.slots;
+  quota_usage_.add(pending.job->spec.team, pending.job->spec.need);
+  ++zones_[row][candidate.machine->zone];
+  --pending.count;
 }
 
 bool Matcher::can_place(std::size_t row, std::size_t column) const {
-  const auto& r = problem_.jobs[row];
-  const auto& spec = r.job->spec;
-  const auto& c = problem_.machines[column];
-  // Team limits clear the entry.
-  return r.count > 0 && c.slots > 0 && spec.need.fits_in(c.free) &&
-         quota_usage_.max_additional_tasks(spec.team, spec.need, r.reserved_headroom) > 0 &&
-         zone_allows(spec, zones_[row], c.machine->zone);
+  const auto& pending = problem_.jobs[row];
+  const auto& spec = pending.job->spec;
+  const auto& candidate = problem_.machines[column];
+  // Checks the machine's capacity, the team's limit and the zone constraints.
+  return pending.count > 0 && candidate.slots > 0 && spec.need.fits_in(candidate.free) &&
+         quota_usage_.max_additional_tasks(spec.team, spec.need, pending.reserved_headroom) > 0 &&
+         zone_allows(spec, zones_[row], candidate.machine->zone);
 }
 
 bool Matcher::place_one(std::size_t row, std::size_t column) {
@@ -136,18 +136,18 @@
   return pick_gang_columns(row, only_zone, false, out);
 }
 
-// `cached`: only machines that have the image, or only those that have not.
+// `cached`: considers only machines that have the image (true) or only those that lack it (false).
 bool Matcher::pick_gang_columns(std::size_t row, const std::string* only_zone, std::optional<bool> cached,
                                 std::vector<std::size_t>& out) {
   const auto& job = *problem_.jobs[row].job;
   const auto& spec = job.spec;
   ZoneCounts counts;
-  // A gang takes a few of many: they are picked off a heap, in the order in which sorting would put them.
+  // A gang takes few of many columns: popping them from a heap yields the same order as sorting.
   auto heap = allowed_columns(row, only_zone);
   const auto lower_score = [&](std::size_t a, std::size_t b) {
-    const double va = matrix_.at(row, a);
-    const double vb = matrix_.at(row, b);
-    return va != vb ? va < vb : a > b;
+    const double score_a = matrix_.at(row, a);
+    const double score_b = matrix_.at(row, b);
+    return score_a != score_b ? score_a < score_b : a > b;
   };
   std::ranges::make_heap(heap, lower_score);
   while (!heap.empty() && out.size() < spec.tasks) {
@@ -176,7 +176,7 @@
     if (!pick_gang_columns(row, nullptr, best)) return false;
   } else {
     std::set<std::string> zones;
-    for (const auto& k : problem_.kinds) zones.insert(k.zone);
+    for (const auto& kind : problem_.kinds) zones.insert(kind.zone);
     double best_value = 0;
     for (const auto& zone : zones) {
       std::vector<std::size_t> columns;
--- a/src/core/placement/matcher.hpp
+++ b/src/core/placement/matcher.hpp
@@ -1,4 +1,5 @@
-// Greedy matching: the highest entry is placed first, its machine's room is lowered, and so on.
+// Greedy matching: places the highest entry of the score matrix first, reduces its machine's free capacity, and
+// repeats.
 #pragma once
 #include <optional>
 #include <vector>
@@ -11,21 +12,21 @@
 // A placement decision.
 struct Match {
   std::size_t row = 0;
-  std::vector<std::size_t> columns;  // one per task; a gang's whole set or one array task
+  std::vector<std::size_t> columns;  // one column per task: all tasks of a gang, or one array task
 };
 
-// Zones that a job's tasks already hold, by number of tasks.
+// Number of a job's placed tasks by zone.
 using ZoneCounts = std::map<std::string, std::uint32_t>;
 ZoneCounts count_tasks_by_zone(const Job& job, const std::map<MachineId, Machine>& machines);
-// May one more task of the job go to this zone?
+// Returns whether one more task of the job may be placed in this zone.
 bool zone_allows(const JobSpec& spec, const ZoneCounts& counts, const std::string& zone);
 
-// Solves one problem; lowers the room and the quota that it was given as it places.
+// Solves one placement problem. Reduces the free capacity and the quota that it was given as it places tasks.
 class Matcher {
  public:
   Matcher(PlacementProblem& problem, ScoreMatrix& matrix, QuotaUsage& quota_usage,
           const std::map<MachineId, Machine>& machines);
-  // To be called once.
+  // Returns the matches. May be called only once.
   std::vector<Match> run();
 
  private:
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -27,48 +27,50 @@
                    Time now) {
   if (spec == nullptr) return 0;
   if (victim.state() != TaskState::running) return 1.0;
-  const double ran = std::max(0.0, to_seconds(now - victim.running_since));
-  // A task with checkpoints saves when it is stopped in order: it loses the saving and the restart.
-  const double grace = grace_s(policy, *spec);
-  const double unsaved = spec->checkpoint_interval_s > 0 ? std::min(ran, spec->checkpoint_interval_s / 2) : ran;
-  const double lost_s = (grace > 0 ? grace : unsaved) + 5.0;
-  const double gang = spec->kind == JobKind::gang ? spec->tasks : 1;
-  return lost_s * gang * std::max(1.0, dominant_units(type, spec->need));
+  const double run_s = std::max(0.0, to_seconds(now - victim.running_since));
+  // A task with checkpoints saves when it is given a grace period: only the saving and the restart are lost.
+  const double saving_s = grace_s(policy, *spec);
+  const double unsaved_s = spec->checkpoint_interval_s > 0 ? std::min(run_s, spec->checkpoint_interval_s / 2) : run_s;
+  const double lost_s = (saving_s > 0 ? saving_s : unsaved_s) + 5.0;
+  const double gang_size = spec->kind == JobKind::gang ? spec->tasks : 1;
+  return lost_s * gang_size * std::max(1.0, dominant_units(type, spec->need));
 }
 
 namespace {
 
-constexpr std::size_t max_machines_per_plan = 32;  // cleared for one array at a time
+constexpr std::size_t max_machines_per_plan = 32;  // for one array at a time
 
 struct Candidate {
   const VictimMachine* machine = nullptr;
-  std::size_t victims = 0;  // how far down its list
-  std::uint32_t tasks = 0;  // that get room
+  std::size_t victims = 0;  // number of entries of the machine's list that are used
+  std::uint32_t tasks = 0;  // tasks that fit after the preemption
   double lost_gpu_s = 0;
   double cost = 0;
   [[nodiscard]] double cost_each() const { return cost / tasks; }
 };
 
-// Takes further victims of the machine until one more task fits; false where that cannot be.
-bool free_one_task(const PendingJob& pending, const VictimMachine& victim_machine, Resources& free, Candidate& c) {
+// Adds victims of the machine until one more task fits. Returns false if that is impossible.
+bool free_one_task(const PendingJob& pending, const VictimMachine& victim_machine, Resources& free,
+                   Candidate& candidate) {
   const auto& need = pending.job->spec.need;
   while (!need.fits_in(free)) {
-    if (c.victims == victim_machine.victims.size()) return false;
-    const auto& v = victim_machine.victims[c.victims++];
-    if (v.placement->stop_requested) {  // chosen for another row a moment ago, with the rest of its gang
-      free.add(v.placement->need);
+    if (candidate.victims == victim_machine.victims.size()) return false;
+    const auto& victim = victim_machine.victims[candidate.victims++];
+    if (victim.placement->stop_requested) {  // already chosen in this cycle for another row, with the rest of its gang
+      free.add(victim.placement->need);
       continue;
     }
-    if (!may_preempt(pending, v)) continue;
-    free.add(v.placement->need);
-    c.lost_gpu_s += v.lost_gpu_s;
+    if (!may_preempt(pending, victim)) continue;
+    free.add(victim.placement->need);
+    candidate.lost_gpu_s += victim.lost_gpu_s;
   }
   free.add(need, -1);
-  ++c.tasks;
+  ++candidate.tasks;
   return true;
 }
 
-// The cheapest set of victims on one machine that makes room for `wanted` tasks, or for as many as there can be.
+// Returns the cheapest set of victims on one machine that frees capacity for `wanted` tasks, or for as many as
+// possible.
 std::optional<Candidate> free_tasks_on(const PendingJob& pending, const VictimMachine& victim_machine,
                                        std::uint32_t wanted) {
   Candidate out;
@@ -88,27 +90,27 @@
   return out;
 }
 
-// `there`: its other tasks, by zone.
+// Returns the plan with the lowest cost per task. `zone_counts`: the job's other tasks by zone.
 std::optional<PreemptionPlan> cheapest_plan(const PendingJob& pending, std::vector<Candidate> candidates,
-                                            std::size_t wanted, bool all, ZoneCounts zone_counts) {
+                                            std::size_t wanted, bool all_or_none, ZoneCounts zone_counts) {
   std::ranges::stable_sort(candidates, {}, &Candidate::cost_each);
   PreemptionPlan out;
   std::size_t tasks = 0;
-  for (const auto& c : candidates) {
-    if (tasks >= wanted || (!all && out.machines.size() >= max_machines_per_plan)) break;
-    const auto& zone = c.machine->machine->zone;
+  for (const auto& candidate : candidates) {
+    if (tasks >= wanted || (!all_or_none && out.machines.size() >= max_machines_per_plan)) break;
+    const auto& zone = candidate.machine->machine->zone;
     if (!zone_allows(pending.job->spec, zone_counts, zone)) continue;
-    zone_counts[zone] += c.tasks;
-    tasks += c.tasks;
-    out.machines.push_back(c.machine->machine);
-    for (std::size_t v = 0; v < c.victims; ++v) {
-      const auto& victim = c.machine->victims[v];
+    zone_counts[zone] += candidate.tasks;
+    tasks += candidate.tasks;
+    out.machines.push_back(candidate.machine->machine);
+    for (std::size_t v = 0; v < candidate.victims; ++v) {
+      const auto& victim = candidate.machine->victims[v];
       if (!victim.placement->stop_requested && may_preempt(pending, victim))
-        out.victims.emplace_back(c.machine->machine->id, victim.placement->task);
+        out.victims.emplace_back(candidate.machine->machine->id, victim.placement->task);
     }
-    out.cost += c.cost;
+    out.cost += candidate.cost;
   }
-  if (tasks == 0 || (all && tasks < wanted)) return std::nullopt;
+  if (tasks == 0 || (all_or_none && tasks < wanted)) return std::nullopt;
   return out;
 }
 
@@ -126,11 +128,11 @@
     if (std::exchange(type, victim_machine.type) != victim_machine.type)
       type_fits = type_allows(spec, *victim_machine.type);
     if (!type_fits || !location_allows(spec, victim_machine.machine->zone, victim_machine.machine->spot)) continue;
-    const auto c = free_tasks_on(pending, victim_machine, gang ? 1 : wanted);
-    if (!c) continue;
+    const auto candidate = free_tasks_on(pending, victim_machine, gang ? 1 : wanted);
+    if (!candidate) continue;
     auto group = spec.one_zone ? victim_machine.machine->zone : std::string{};
     if (pending.uniform_image && victim_machine.machine->has_image(pending.job->image)) group += " cached";
-    by_zone[std::move(group)].push_back(*c);
+    by_zone[std::move(group)].push_back(*candidate);
   }
   std::optional<PreemptionPlan> best;
   for (auto& [zone, candidates] : by_zone) {
--- a/src/core/placement/preemption.hpp
+++ b/src/core/placement/preemption.hpp
@@ -1,4 +1,4 @@
-// Which running work may be stopped for a pending job, and which of it costs least.
+// Selects running work to preempt for a pending job at the lowest cost.
 #pragma once
 #include <optional>
 #include <vector>
@@ -9,43 +9,45 @@
 
 namespace martenwall {
 
-// Which tasks to stop on which machines.
+// Tasks to stop, and the machines that are reserved for the job.
 struct PreemptionPlan {
-  std::vector<Machine*> machines;  // to be kept for the job
+  std::vector<Machine*> machines;  // machines to reserve for the job
   std::vector<std::pair<MachineId, TaskId>> victims;
-  double cost = 0;  // GPU-seconds: work lost, and the cold fetches to come
+  double cost = 0;  // GPU-seconds: lost work plus the image fetches that follow
 };
 
-// Something on a machine that might be stopped. Looked up once a cycle, since many pending jobs ask.
+// A placement that may be preempted. Built once per cycle because many pending jobs use it.
 struct Victim {
   const Placement* placement = nullptr;
-  const Job* job = nullptr;          // nothing where it is not known any more
-  bool within_guarantee = false;     // of a job within its team's guarantee
+  const Job* job = nullptr;          // nullptr if the job has been removed from memory
+  bool within_guarantee = false;     // its job is within its team's guarantee
   bool team_over_guarantee = false;  // its team uses more than its guarantee
-  double lost_gpu_s = 0;             // GPU-seconds of work lost with it
+  double lost_gpu_s = 0;             // GPU-seconds of work lost by stopping it
 };
 
-// A machine and what might be stopped there.
+// A machine and the placements there that may be preempted.
 struct VictimMachine {
   Machine* machine = nullptr;
   const MachineType* type = nullptr;
-  Resources free;               // free now, or being freed already
+  Resources free;               // free, or being freed already
   std::vector<Victim> victims;  // cheapest first
 };
 using VictimTable = std::vector<VictimMachine>;
 
-// PROTOCOL, "Preemption": lower priority, or another team's work beyond its guarantee for a job within
-// its own. Of the two, priority is looked at first and the guarantee decides among equals: were each
-// enough by itself, a higher priority without guarantee and a lower one within it would stop each other
-// in turn for ever.
+// PROTOCOL, "Preemption": work of lower priority may be preempted, and another team's work beyond its guarantee for a
+// job within its own team's guarantee. Priority is compared first; the guarantee decides only between equal priorities.
+// If each were sufficient on its own, a job of higher priority without guarantee and one of lower priority within it
+// would preempt each other forever.
 bool may_preempt(const PendingJob& pending, const Victim& victim);
-// Seconds that a lone task is given to save when it is stopped for others: none where what it did since its last
-// checkpoint is on the mean less than the saving takes. Its place is then free at once.
+// Returns the seconds that a task is given to save when it is preempted: 0 if it has no checkpoints or, for a task
+// outside a gang and if the policy allows unsaved stops, if the expected work since its last checkpoint is less than
+// the saving takes. Its capacity is then free at once.
 double grace_s(const Policy& policy, const JobSpec& spec);
-// GPU-seconds. `spec` is the victim's job's, or nothing where the job is over.
+// Returns the work lost by stopping the victim, in GPU-seconds. `spec` is its job's, or nullptr if the job has ended.
 double lost_work_s(const Policy& policy, const JobSpec* spec, const MachineType& type, const Placement& victim,
                    Time now);
-// Room for `wanted` tasks; of an array also for fewer. `there`: the job's other tasks by zone, where they bind it.
+// Returns the cheapest plan that frees capacity for `wanted` tasks, or for fewer of an array. `zone_counts`: the job's
+// other tasks by zone, if they restrict the zone.
 std::optional<PreemptionPlan> plan_preemption(const VictimTable& table, const PendingJob& pending, std::uint32_t wanted,
                                               const ZoneCounts& zone_counts);
 
--- a/src/core/reachability/downlink_health.cpp
+++ b/src/core/reachability/downlink_health.cpp
@@ -5,7 +5,7 @@
 namespace martenwall {
 
 namespace {
-// One answer may be lost, two in a row seldom; an order is repeated in each answer.
+// A single response may be lost; losing two in a row is rare. Every response repeats the instruction.
 constexpr int unreachable_misses = 3;
 constexpr Duration probe_interval = seconds(4);
 }  // namespace
@@ -27,7 +27,7 @@
     proof_window_start_ = now;
     return;
   }
-  // Without an answer since then the session would be over: the worker's lease counts from an answered report.
+  // Without a response, the session would have ended: the worker's lease counts from an answered report.
   if (now - proof_window_start_ > lease) on_delivery_confirmed(now);
 }
 
--- a/src/core/reachability/downlink_health.hpp
+++ b/src/core/reachability/downlink_health.hpp
@@ -1,5 +1,5 @@
 // Whether a machine receives what its controllers send. Its heartbeats may arrive while responses and commands do not
-// reach it: its worker's lease then expires although it was answered, and what is placed on it never starts.
+// reach it: its worker's lease then expires although the heartbeats were answered, and tasks placed on it never start.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -8,32 +8,34 @@
 
 namespace martenwall {
 
-// What is believed of the way from the controllers to a machine.
+// Estimated state of the path from the controllers to a machine.
 enum class DownlinkState : std::uint8_t {
   reachable,
-  suspected,    // a command had no effect, or an incarnation ended that was answered: nothing new is placed there
-  unreachable,  // so again: what was not started there goes elsewhere
+  suspected,    // no new tasks: a command had no effect, or an answered incarnation ended
+  unreachable,  // repeated evidence: tasks that have not started are placed elsewhere
 };
+// Returns the name for log lines.
 std::string_view name_of(DownlinkState s);
 
-// One machine's downlink, judged by what its heartbeats show.
+// State of one machine's downlink, derived from its heartbeats.
 class DownlinkHealth {
  public:
-  // A heartbeat of this incarnation came, the newest so far. `lease`: after so long in one incarnation its worker must
-  // have received a response.
+  // Records a heartbeat of this incarnation, the newest so far. `lease`: after this time in one incarnation, the worker
+  // must have received a response.
   void on_heartbeat(Incarnation incarnation, Duration lease, Time now);
-  // It carries something that only a command or a response can have brought about.
+  // Records that the heartbeat shows the effect of a command or response.
   void on_delivery_confirmed(Time now);
-  // It lacks what the response to an earlier heartbeat told the worker to do, or tells of a new incarnation although
-  // the last one's heartbeats were answered. Once a heartbeat at most.
+  // Records that the heartbeat lacks what the response to an earlier one instructed, or reports a new incarnation
+  // although the heartbeats of the last one were answered. Called at most once per heartbeat.
   void on_delivery_missed(Time now);
 
   [[nodiscard]] DownlinkState state() const { return state_; }
   [[nodiscard]] bool is_reachable() const { return state_ == DownlinkState::reachable; }
   [[nodiscard]] bool is_unreachable() const { return state_ == DownlinkState::unreachable; }
-  // When the state was entered.
+  // Returns when the state was entered.
   [[nodiscard]] Time since() const { return since_; }
-  // While it is in doubt an empty command batch is tried now and then: a reply shows that the machine is reachable.
+  // Returns whether to send an empty command batch as a probe, and records the probe. While the machine is not
+  // reachable, one is sent at intervals: a reply shows that the machine is reachable.
   [[nodiscard]] bool claim_probe(Time now);
 
  private:
@@ -41,7 +43,7 @@
   DownlinkState state_ = DownlinkState::reachable;
   Time since_{};
   Incarnation incarnation_{};
-  Time proof_window_start_{};  // an incarnation that outlasts a lease from here on shows that something arrived
+  Time proof_window_start_{};  // an incarnation that lives a lease longer than this shows that a response arrived
   Time last_probe_{Duration::min() / 2};
   int misses_ = 0;
 };
--- a/src/core/reachability/leader_reachability.cpp
+++ b/src/core/reachability/leader_reachability.cpp
@@ -6,14 +6,14 @@
 namespace martenwall {
 
 namespace {
-// Its visit counts for so long. Whether the leader kept it is not waited for: a worker that meets two silent nodes
-// needs ten seconds to come back, half its lease. The leader compares with those that it hears itself.
+// How long a worker's visit counts. It counts at once, without waiting to see whether the worker reached the leader: a
+// worker that meets two unresponsive nodes needs ten seconds to return, half its lease. The leader compares the count
+// with the number of workers that report to it.
 constexpr Duration visit_validity = seconds(6);
 constexpr Duration report_validity = seconds(3);
 constexpr Duration suspicion_period = seconds(1.5);
-constexpr Duration settling_period =
-    seconds(7);                           // of a new leadership: workers with a silent leader need 5 s to leave it
-constexpr double step_down_ratio = 1.25;  // others must hear so many times more, or two nodes would change places
+constexpr Duration settling_period = seconds(7);  // workers need 5 s to leave an unresponsive leader
+constexpr double step_down_ratio = 1.25;  // hysteresis: with a smaller ratio, two nodes could alternate as leader
 constexpr Duration unreachable_campaign_delay = seconds(4);
 constexpr Duration unreached_campaign_delay = seconds(0.3);
 constexpr Duration heartbeat_validity = seconds(6);
@@ -27,11 +27,11 @@
 void RedirectedWorkers::record(const MachineId& worker, Time now) { visits_[worker] = now; }
 
 std::size_t RedirectedWorkers::stranded(Time now) {
-  std::erase_if(visits_, [&](const auto& v) { return now - v.second > visit_validity; });
+  std::erase_if(visits_, [&](const auto& visit) { return now - visit.second > visit_validity; });
   return visits_.size();
 }
 
-// Within this time each worker that is well has reported once.
+// Within this time, each healthy worker has reported once.
 LeaderReachability::LeaderReachability(const WorkerTimings& timings)
     : window_(seconds(timings.heartbeat_interval_s * 1.25 + 0.5)) {}
 
@@ -54,8 +54,8 @@
 
 std::size_t LeaderReachability::stranded_since(Time since) const {
   std::size_t max_stranded = 0;
-  for (const auto& [node, c] : reports_) {
-    if (c.at >= since) max_stranded = std::max(max_stranded, c.stranded);
+  for (const auto& [node, report] : reports_) {
+    if (report.at >= since) max_stranded = std::max(max_stranded, report.stranded);
   }
   return max_stranded;
 }
@@ -69,7 +69,7 @@
   }
   if (state_ == LeaderReachabilityState::reachable) transition_to(LeaderReachabilityState::suspected, now);
   if (now - since_ < suspicion_period) return false;
-  // One note may have come late, carried out by the store long after it was written: another must have followed.
+  // A single report may be outdated if the store applied its write late: requires another report after it.
   if (static_cast<double>(stranded_since(since_ + Duration{1})) <= step_down_ratio * static_cast<double>(reporting))
     return false;
   transition_to(LeaderReachabilityState::unreachable, now);
--- a/src/core/reachability/leader_reachability.hpp
+++ b/src/core/reachability/leader_reachability.hpp
@@ -1,5 +1,5 @@
-// Which nodes the workers reach. A leader that they cannot reach must give way before their leases end; one
-// that is only left by lost machines, or cut off together with all others, must not.
+// Which nodes the workers can reach. A leader that they cannot reach must step down before their leases end. A leader
+// that only lacks lost machines, or that is cut off together with all other nodes, must not.
 #pragma once
 #include <map>
 #include <string>
@@ -11,43 +11,45 @@
 
 namespace martenwall {
 
-// A follower's view: workers that it sent to the leader lately. Those that the leader keeps do not come again.
+// A follower's view: workers that it recently redirected to the leader. Those that reach the leader do not return.
 class RedirectedWorkers {
  public:
-  // The worker was sent to the leader.
+  // Records that the worker was redirected to the leader.
   void record(const MachineId& worker, Time now);
-  // Workers that came here lately although they were sent to the leader.
+  // Returns the number of workers that were recently here although they had been redirected to the leader.
   [[nodiscard]] std::size_t stranded(Time now);
-  void clear() { visits_.clear(); }  // another leader: what they met before says nothing of it
+  void clear() { visits_.clear(); }  // called when the leader changes: earlier visits are irrelevant to it
 
  private:
   std::unordered_map<MachineId, Time> visits_;
 };
 
+// Estimated state of the path from the workers to this node.
 enum class LeaderReachabilityState {
   reachable,    // no other node is reached by more workers
-  suspected,    // others are, since a moment ago
-  unreachable,  // gave its leadership up for that; does not campaign at once
+  suspected,    // other nodes are, since recently
+  unreachable,  // stepped down for this reason; delays its next campaign
 };
+// Returns the name for log lines.
 std::string_view name_of(LeaderReachabilityState s);
 
-// One node's view of itself.
+// One node's view of its own reachability.
 class LeaderReachability {
  public:
   explicit LeaderReachability(const WorkerTimings& timings);
-  // Leadership began: workers need a moment to find the new leader, and are not missed before.
+  // Records that leadership began. Workers need some time to find the new leader and are not counted as missing before.
   void on_leadership_began(Time now);
-  // Another node says how many workers it could not get rid of to this leader.
+  // Records how many workers another node reports that could not reach this leader.
   void on_stranded_report(const std::string& node, std::size_t stranded, Time now);
-  // `heard`: workers that reported here within `window`. Returns true once leadership should be given up.
+  // `reporting`: workers that reported here within `window`. Returns true if leadership should be given up.
   bool should_step_down(std::size_t reporting, Time now);
-  void on_heartbeat(Time now);  // a worker reached this node, whatever it was answered
-  // Within this time each worker that is well has reported once.
+  void on_heartbeat(Time now);  // a worker reached this node, whatever the response was
+  // Returns the time within which each healthy worker has reported once.
   [[nodiscard]] Duration window() const { return window_; }
-  // How long this node lets the others go first once no one leads.
+  // Returns how long this node waits for the others to campaign while no node leads.
   [[nodiscard]] Duration campaign_delay(Time now) const;
   [[nodiscard]] LeaderReachabilityState state() const { return state_; }
-  // The highest number of stranded workers that another node reported lately.
+  // Returns the highest number of stranded workers that any other node reported recently.
   [[nodiscard]] std::size_t reported_stranded(Time now) const;
 
  private:
--- a/src/core/result.hpp
+++ b/src/core/result.hpp
@@ -1,4 +1,5 @@
-// A value or a typed error. GCC 12 has no std::expected; this is the part of it that the code base uses.
+// A value or a typed error. Stands in for std::expected, which GCC 12 lacks, with the parts of it that the code base
+// uses.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,12 +9,12 @@
 
 namespace martenwall {
 
-// What kind of failure an error is; callers decide by it, the message is for people.
+// Kind of failure. Callers act on the code; the message is for people.
 enum class ErrorCode : std::uint8_t {
-  invalid_argument,     // the input can never be accepted as it stands
+  invalid_argument,     // the input is never acceptable in its present form
   failed_precondition,  // the input is well-formed, but the system's state forbids it
   not_found,
-  unavailable,  // a dependency did not answer: the same request may succeed later
+  unavailable,  // a dependency did not respond: the same request may succeed later
   unreadable,   // stored or received data has an unexpected form
 };
 
@@ -33,12 +34,13 @@
   return "unknown";
 }
 
+// An error code with a message.
 struct Error {
   ErrorCode code = ErrorCode::unavailable;
-  std::string message;  // one sentence: what went wrong, where, and what may be done about it
+  std::string message;  // one sentence: what failed, where, and what can be done about it
 };
 
-// Either a T or an Error. Like std::expected, `value()` and `operator*` may only be called where `has_value()` holds.
+// Either a T or an Error. As with std::expected, `value()` and `operator*` may be called only if `has_value()` is true.
 template <class T>
 class [[nodiscard]] Result {
  public:
--- a/src/core/scheduler/capacity_manager.cpp
+++ b/src/core/scheduler/capacity_manager.cpp
@@ -12,16 +12,18 @@
 constexpr Duration plan_interval = seconds(0.5);
 constexpr Duration sample_interval = seconds(1);
 constexpr Duration summary_interval = seconds(10);
-constexpr double boot_overdue_factor = 1.8;  // times the nominal boot time after which a machine is not counted on
-constexpr Duration min_remaining_boot = seconds(2);  // that a booting machine is expected to take at least
-constexpr double default_boot_s = 60;                // of a machine whose type is not known
+// Multiple of the nominal boot time after which a booting machine is left out of the forecast.
+constexpr double boot_overdue_factor = 1.8;
+constexpr Duration min_remaining_boot = seconds(2);  // minimum remaining time assumed for a booting machine
+constexpr double default_boot_s = 60;                // boot time assumed for a machine of unknown type
 constexpr std::size_t max_release_batch = 100;
-constexpr double quiet_submission_intervals = 15;  // usual gaps between submissions without one: the users are quiet
+// The load counts as quiet after `min_quiet_s` plus this many mean submission intervals without a submission.
+constexpr double quiet_submission_intervals = 15;
 constexpr double min_quiet_s = 5;
-constexpr std::size_t min_machines_per_unreachable =
-    4;  // with more than one in so many unreachable, the fault is elsewhere
+// If more than one machine in this many is unreachable, the fault is not in the machines.
+constexpr std::size_t min_machines_per_unreachable = 4;
 
-// Index into the arrays that tell ordinary and spot machines apart.
+// Returns the index into arrays that distinguish ordinary (0) and spot (1) machines.
 std::size_t pricing_index(const Machine& machine) { return machine.spot ? 1 : 0; }
 }  // namespace
 
@@ -38,7 +40,7 @@
   std::vector<CapacityForecast> out;
   for (const auto& candidate : problem.machines) {
     const auto& machine = *candidate.machine;
-    // Machines without GPUs have room too.
+    // A machine type without GPUs is checked by its CPUs.
     const double free = candidate.type->capacity.gpus > 0 ? candidate.free.gpus : candidate.free.cpus;
     if (machine.reserved_for || free <= 0) continue;
     out.push_back({candidate.type, machine.zone, machine.spot, candidate.free, now, false,
@@ -58,7 +60,7 @@
   for (const auto& [id, machine] : state_.machines) {
     const auto* type = state_.find_type(machine.type);
     if (type == nullptr || machine.phase() != MachinePhase::booting) continue;
-    // One that takes much longer than its kind does may never come: plan without it.
+    // A machine that takes much longer than its type's boot time may never come up.
     if (now - machine.first_known > seconds(type->boot_s * boot_overdue_factor)) continue;
     const Time ready =
         std::max(now + min_remaining_boot, machine.first_known + seconds(type->boot_s * boot_time_factor));
@@ -74,7 +76,8 @@
   for (const auto& pending : problem.jobs) {
     const auto& spec = pending.job->spec;
     if (pending.count == 0 || preemptor_.is_preempting_for(spec.id)) continue;
-    // Nothing is hired for a job that most likely fails again, unless there is nothing to try it on.
+    // No machines are requested for a suspect job, which is likely to fail again, unless there is no machine to try it
+    // on.
     if (pending.job->suspect && any_machine) continue;
     const auto startable = std::min(pending.count, used.max_additional_tasks(spec.team, spec.need));
     if (startable == 0 && !std::exchange(pending.job->limit_logged, true)) log_.job_at_quota_limit(spec);
@@ -93,8 +96,9 @@
   FleetView view{now, options_.policy, state_.types, refusals_, {}, forecast(problem, now)};
   for (const auto& [id, machine] : state_.machines) ++view.machines_by_zone[machine.zone];
   for (auto& request : pack_scale_out_requests(view, demands)) {
-    // The cloud takes a few calls a second. A long queue is answered when others want the machines, and half of it is
-    // refused where its head was: what is not asked for now is planned again with what is known then.
+    // The cloud accepts only a few calls per second. By the time a long queue of requests is answered, other work needs
+    // the machines, and half of the requests are refused in the type and zone in which the first ones were already
+    // refused. Demand beyond the limit is planned again later with up-to-date information.
     if (pending_.size() >= options_.max_pending_scale_outs) break;
     request.name = "hire-" + std::to_string(options_.token.value()) + "-" + std::to_string(++last_serial_);
     log_.scale_out_requested(request);
@@ -124,7 +128,7 @@
 void CapacityManager::on_scale_out_refused(const ScaleOutRequest& request, Time now) {
   on_scale_out_abandoned(request);
   refusals_.refused_until[{request.type, request.zone, request.spot}] = now + options_.policy.capacity_retry;
-  next_plan_ = now;  // the same work may be served elsewhere
+  next_plan_ = now;  // retry immediately: another type or zone may serve the same work
   state_.needs_cycle = true;
 }
 
@@ -147,7 +151,7 @@
   return static_cast<std::size_t>(count) * min_machines_per_unreachable <= state_.machines.size();
 }
 
-// Whether the machine is of no use any more, whatever work there is.
+// Returns whether the machine should be released regardless of the load.
 bool CapacityManager::should_release(const Machine& machine, Time now) const {
   const auto* type = state_.find_type(machine.type);
   const double boot_s = type != nullptr ? type->boot_s : default_boot_s;
@@ -157,12 +161,14 @@
     case MachinePhase::draining:
       return machine.empty();
     case MachinePhase::lost:
-      // Silent for longer than its lease, it may be cut off or hang, and comes back with its images sooner than another
-      // boots; one that is dead is listed as failed by then and goes at once (MachineInventory). Machines of a zone
-      // that was cut off for 56 s were released 26 s before it healed.
+      // A machine without a heartbeat for longer than its lease may be partitioned or hung; if it returns, it has its
+      // images sooner than a new machine boots. A dead one is listed as failed by then and released at once
+      // (MachineInventory). When a zone was partitioned for 56 s, its machines were released 26 s before the partition
+      // healed.
       return now - machine.phase_since > options_.policy.lost_timeout;
     case MachinePhase::up:
-      // One that receives nothing costs as much as another; but where many are unreachable the fault is elsewhere.
+      // An unreachable machine costs as much as any other. If many machines are unreachable, the fault is not in the
+      // machines, and they are kept.
       return machine.downlink.is_unreachable() && machine.empty() &&
              now - machine.downlink.since() > options_.policy.lost_timeout && few_machines_unreachable();
     case MachinePhase::releasing:
@@ -186,14 +192,16 @@
   release_idle(std::move(idle), now);
 }
 
-// Nothing was submitted for much longer than usual: where jobs come each half second, ten seconds tell as much as
-// minutes do elsewhere.
+// Returns whether no job was submitted for much longer than the mean submission interval. If jobs arrive every half
+// second, ten seconds without one are as significant as minutes are elsewhere.
 bool CapacityManager::is_quiet(Time now) const {
-  const auto quiet_period = seconds(min_quiet_s + quiet_submission_intervals * state_.mean_submission_interval_s);
-  return now - state_.last_submission > std::min(options_.policy.quiet_period, quiet_period);
+  const auto scaled_quiet_period =
+      seconds(min_quiet_s + quiet_submission_intervals * state_.mean_submission_interval_s);
+  return now - state_.last_submission > std::min(options_.policy.quiet_period, scaled_quiet_period);
 }
 
-// Beyond what the load may grow by while a machine boots, idle machines cost more than they can save.
+// Releases idle machines. Those beyond the expected growth of the load during one boot time cost more than they can
+// save.
 void CapacityManager::release_idle(std::vector<Machine*> idle, Time now) {
   const auto& policy = options_.policy;
   double boot_s = 0;
@@ -203,14 +211,15 @@
   for (const std::size_t pricing : {0U, 1U}) {
     reserve.at(pricing) = load_history_.at(pricing).reserve(horizon, policy.reserve_deviations);
   }
-  // The one that idled shortest is kept first: placements prefer it too, so the others' time comes.
+  // Machines that became idle most recently are kept first. Placement prefers them too, so the others reach their idle
+  // limit.
   std::ranges::stable_sort(idle, std::greater{}, &Machine::idle_since);
   const auto max_idle = is_quiet(now) ? std::min(policy.quiet_idle_release, policy.idle_release) : policy.idle_release;
   std::array<std::size_t, 2> ranked{};
   for (auto* machine : idle) {
     const auto pricing = pricing_index(*machine);
     const auto rank = static_cast<double>(++ranked.at(pricing));
-    // Ordinary machines serve everyone, so they are the ones to keep warm.
+    // Ordinary machines can run any job, so the warm machines are chosen among them.
     if (!machine->spot && rank <= policy.warm_machines) continue;
     const auto idle_limit = rank <= reserve.at(pricing) ? max_idle : std::min(max_idle, policy.surplus_release);
     if (now - machine->idle_since < idle_limit || now < machine->keep_until) continue;
--- a/src/core/scheduler/capacity_manager.hpp
+++ b/src/core/scheduler/capacity_manager.hpp
@@ -1,5 +1,5 @@
-// The size of the fleet: scale-out requests for work that found no room, and scale-in of machines that are idle, never
-// came up or are lost.
+// Fleet size: scale-out requests for jobs without capacity, and scale-in of machines that are idle, failed to boot or
+// are lost.
 #pragma once
 #include <array>
 #include <map>
@@ -19,20 +19,25 @@
                   const LeaderLog& log)
       : state_(state), options_(options), preemptor_(preemptor), log_(log) {}
 
-  // Part of each scheduling cycle, acts twice a second: plans scale-out for the jobs that are left without a place, and
-  // scale-in. `used`: the teams' usage once all that was placed counts.
+  // Plans scale-out for the jobs that were not placed, and scale-in. Called in each scheduling cycle; acts at most
+  // twice a second. `used`: the teams' usage including the placements of this cycle; the demand that is planned for is
+  // added to it.
   void plan(PlacementProblem& problem, QuotaUsage& used, Time now);
-  // Records how many machines are busy, and every ten seconds logs a summary; to be called when `is_sample_due`.
+  // Returns whether the next sample is due (once per second).
   [[nodiscard]] bool is_sample_due(Time now) const { return now >= next_sample_; }
+  // Records a sample of the number of busy machines, and logs a summary every ten seconds. Must be called only if
+  // `is_sample_due`.
   void record_fleet_demand(const PlacementProblem& problem, const WriteQueue& writes, Time now);
 
-  // The requests to be sent to the cloud, each once.
+  // Returns the requests to be sent to the cloud, each one once.
   std::vector<ScaleOutRequest> take_scale_out_requests();
+  // Adds the machines that the cloud granted. If they are fewer than requested, the rest counts as refused.
   void on_scale_out_granted(const ScaleOutRequest& request, const std::vector<MachineId>& ids, Time now);
+  // Excludes the type, zone and pricing from requests for the policy's retry interval, and plans again at once.
   void on_scale_out_refused(const ScaleOutRequest& request, Time now);
-  // No answer came; should the request have been executed, its machines turn up in the cloud's list.
+  // Drops a request that got no answer. If it was executed, its machines appear in the cloud's list.
   void on_scale_out_abandoned(const ScaleOutRequest& request);
-  // Machines to be released, repeated until the cloud has confirmed them.
+  // Returns the machines to be released. They are returned again until the cloud has confirmed their release.
   [[nodiscard]] std::vector<MachineId> scale_in_candidates() const;
 
  private:
@@ -52,11 +57,11 @@
   const LeaderLog& log_;
   CapacityRefusals refusals_;
   std::vector<ScaleOutRequest> requests_;
-  std::map<std::string, ScaleOutRequest> pending_;  // by name: sent, not answered yet
-  std::uint64_t last_serial_ = 0;                   // of a request's name
+  std::map<std::string, ScaleOutRequest> pending_;  // requests by name, sent but not answered yet
+  std::uint64_t last_serial_ = 0;                   // serial number in the name of the last request
   Time next_plan_{};
   Time next_sample_{}, next_summary_{};
-  std::array<LoadHistory, 2> load_history_;  // ordinary machines, spot machines
+  std::array<LoadHistory, 2> load_history_;  // indexed by `pricing_index`: ordinary machines, spot machines
 };
 
 }  // namespace martenwall
--- a/src/core/scheduler/cluster_state.cpp
+++ b/src/core/scheduler/cluster_state.cpp
@@ -7,7 +7,7 @@
 namespace martenwall {
 
 namespace {
-// Times the heartbeat interval after which a machine counts as silent: it may be dead.
+// Maximum age of a machine's last report, in heartbeat intervals. An older report means that the machine may be dead.
 constexpr double max_report_age_intervals = 2.2;
 }  // namespace
 
@@ -64,7 +64,7 @@
     const double sign = occupies ? 1 : -1;
     machine.used.add(placement.need, sign);
     machine.task_count = occupies ? machine.task_count + 1 : machine.task_count - 1;
-    if (machine.task_count == 0) machine.used = {};  // no rounding error outlives the tasks that made it
+    if (machine.task_count == 0) machine.used = {};  // clears accumulated rounding errors
     quota_usage.add(placement.team, placement.need, sign);
     placement.accounted = occupies;
     needs_cycle = true;
--- a/src/core/scheduler/cluster_state.hpp
+++ b/src/core/scheduler/cluster_state.hpp
@@ -1,5 +1,5 @@
 // The leader's in-memory view of jobs, machines and teams, shared by the modules of core/scheduler. It owns the data
-// and keeps the sums over it; decisions are made by the modules.
+// and maintains the totals; the modules make the decisions.
 #pragma once
 #include <map>
 #include <set>
@@ -15,7 +15,7 @@
 
 class ClusterState {
  public:
-  // `options` must outlive the state; its teams are the first ones.
+  // `options` must outlive the state. Its teams are the initial teams.
   explicit ClusterState(const SchedulerOptions& options);
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
@@ -23,47 +23,50 @@
   ClusterState& operator=(ClusterState&&) = delete;
   ~ClusterState() = default;
 
-  // Looked up by name; nullptr where there is none.
+  // Return the entry with this name, or nullptr if there is none.
   [[nodiscard]] Job* find_job(const JobId& id);
   [[nodiscard]] const Job* find_job(const JobId& id) const;
   [[nodiscard]] const MachineType* find_type(const std::string& name) const;
   [[nodiscard]] const Team* find_team(const std::string& name) const;
 
-  // The machine of a stored row: one that is new here counts as up, and as answered for as long as an earlier leader
-  // may have renewed its worker's lease.
+  // Returns the machine of a stored row. A new entry starts in phase `up`, with its lease counted as renewed at the
+  // latest time at which an earlier leader may have answered its worker.
   Machine& find_or_add_machine(const MachineId& id, Time now);
-  // The number that this process gives to an image's name.
+  // Returns the number that this process assigns to an image name.
   ImageId image_id(const std::string& name);
 
+  // Adds the placement to the machine and to the totals. The reference is valid until placements are added or erased.
   Placement& add_placement(Machine& machine, Placement placement);
-  // Brings the sums over machines, teams and running tasks in line with a placement that changed: the one place where
-  // they are counted. To be called after each change of a placement's state.
+  // Updates the totals of machines, teams and running tasks after a change of the placement. No other function changes
+  // these totals, so it must be called after each change of a placement's state.
   void update_accounting(Machine& machine, Placement& placement);
-  // Forgets the placements that are marked as removed. Pointers to placements of the machine are invalid afterwards.
+  // Erases the placements that are marked as removed. Invalidates pointers to placements of the machine.
   void erase_removed(Machine& machine);
 
-  // Whether new tasks may be placed on the machine: it is up, healthy, reachable and not silent.
+  // Returns whether new tasks may be placed on the machine: it is up, healthy, reachable and has reported recently.
   [[nodiscard]] bool accepts_new_tasks(const Machine& machine, Time now) const;
-  // Work of the lowest priority whose team is guaranteed nothing: it takes what others leave.
+  // Returns whether the job has the lowest priority and a team without a guarantee, so that it uses only capacity that
+  // other work leaves free.
   [[nodiscard]] bool is_best_effort(const Job& job) const;
-  // Seconds that the job's image takes to be fetched, by the last machine type that the job may use.
+  // Returns the time to fetch the job's image, in seconds, on the last listed machine type that the job may use; 0 if
+  // there is none.
   [[nodiscard]] double fetch_time_s(const JobSpec& spec) const;
-  // Seconds that tasks of the job have run under this leader, those that run now included.
+  // Returns the total run time of the job's tasks under this leader, in seconds, including the tasks that run now.
   [[nodiscard]] double task_run_time_s(const Job& job, Time now) const;
 
   std::map<std::string, Team> teams;
-  std::vector<MachineType> types;  // empty until the cloud has told them
+  std::vector<MachineType> types;  // empty until the cloud has reported them
   std::map<JobId, Job> jobs;
   std::map<MachineId, Machine> machines;
-  std::map<MachineId, Time> released_machines;  // when; late heartbeats of these must not bring them back
-  std::map<JobId, Time> finished_jobs;          // when, under this leader; late reads must not bring them back
+  std::map<MachineId, Time> released_machines;  // time of release; late heartbeats must not restore these machines
+  std::map<JobId, Time> finished_jobs;  // time of the end under this leader; late reads must not restore these jobs
   QuotaUsage quota_usage;
-  std::vector<std::string> image_names;     // by ImageId
-  std::set<MachineId> machines_to_command;  // commands may be due to these
-  TaskCounts task_counts;                   // since the last summary in the log
+  std::vector<std::string> image_names;     // indexed by ImageId
+  std::set<MachineId> machines_to_command;  // machines that may have commands due
+  TaskCounts task_counts;                   // counts since the last summary in the log
   Time last_submission{};
-  double mean_submission_interval_s = 10;  // moving average of the time between two submissions
-  bool needs_cycle = true;                 // something happened that may change the outcome of a scheduling cycle
+  double mean_submission_interval_s = 10;  // moving average of the time between submissions
+  bool needs_cycle = true;                 // an event may change the outcome of a scheduling cycle
 
  private:
   const SchedulerOptions& options_;
--- a/src/core/scheduler/dependency_tracker.cpp
+++ b/src/core/scheduler/dependency_tracker.cpp
@@ -7,7 +7,7 @@
 namespace martenwall {
 
 namespace {
-constexpr double dependent_start_latency_s = 2;  // heartbeats, the store and a scheduling cycle, twice
+constexpr double dependent_start_latency_s = 2;  // two rounds of heartbeats, store writes and scheduling cycles
 }  // namespace
 
 std::optional<JobId> DependencyTracker::add(Job& job, Time now) {
@@ -15,7 +15,7 @@
   std::optional<JobId> cancelled;
   for (const auto& dependency : job.spec.dependencies) {
     const Job* known = std::as_const(state_).find_job(dependency);
-    // What the end of a residual job was is not known: its rows outlive done jobs too.
+    // The outcome of a residual job is not known: the rows of done jobs can remain as well.
     const bool stored = known != nullptr && known->end_is_stored && !known->residual;
     if (stored && known->phase == JobPhase::done) continue;
     if (stored) cancelled = dependency;
@@ -55,7 +55,7 @@
 
 void DependencyTracker::retry_lookup(const JobId& id) {
   if (lookups_issued_.erase(id) == 0 || !dependents_.contains(id)) return;
-  // Meanwhile the job may have become known here: its end will tell.
+  // If the job has become known in the meantime, its end is reported without a lookup.
   const Job* known = std::as_const(state_).find_job(id);
   if (known == nullptr || known->residual) lookups_due_.insert(id);
 }
@@ -99,14 +99,14 @@
   cascade_root_of_.erase(root);
 }
 
-// ---- only the last job of a pipeline has the deadline and the priority that its user cares about ----
+// ---- urgency: only the last job of a pipeline has the deadline and priority that the user set for the result ----
 
-// From the job's start to the moment when its dependents can start, if nothing stands in its way.
+// Returns the time from the job's start until its dependents can start, in seconds, without any delays.
 double DependencyTracker::time_to_completion_s(const Job& job) const {
   return estimator_.estimate_s(job) + state_.fetch_time_s(job.spec) + dependent_start_latency_s;
 }
 
-// True where that made the job more urgent.
+// Returns whether the job became more urgent.
 bool DependencyTracker::inherit_urgency(Job& job, const Job& dependent) const {
   const auto priority = std::max(job.priority, dependent.priority);
   auto deadline = job.effective_deadline;
--- a/src/core/scheduler/dependency_tracker.hpp
+++ b/src/core/scheduler/dependency_tracker.hpp
@@ -1,6 +1,6 @@
-// The dependency graph of jobs (a DAG): who waits for whom, which ends are still unknown here, and the deadlines and
-// priorities that a job inherits from its dependents. A job starts when all jobs that it depends on are done in the
-// store, and is cancelled with any of them.
+// The dependency graph of jobs (a DAG): dependents of each job, dependencies whose end is not known to this leader, and
+// the deadlines and priorities that a job inherits from its dependents. A job starts when the ends of all its
+// dependencies are stored as done, and is cancelled if any of them is cancelled.
 #pragma once
 #include <map>
 #include <optional>
@@ -17,19 +17,20 @@
   DependencyTracker(ClusterState& state, const RunTimeEstimator& estimator, const LeaderLog& log)
       : state_(state), estimator_(estimator), log_(log) {}
 
-  // A job that is new here: it is blocked while dependencies of it are open. Returns one that is known to be cancelled;
-  // the caller then has to cancel this job too.
+  // Adds a job, which is blocked while it has open dependencies. Returns a dependency that is known to be cancelled, if
+  // any; the caller must then cancel this job too.
   std::optional<JobId> add(Job& job, Time now);
-  // The job ended: it waits for nothing any more.
+  // Removes an ended job as a dependent of its open dependencies.
   void remove(const Job& job);
-  // A dependent of these jobs was cancelled: the urgency that they inherited from it goes, and so on up the graph.
+  // Recomputes the urgency that the job's dependencies inherited from it after its cancellation, and so on up the
+  // graph.
   void recompute_urgency(const Job& cancelled);
 
-  // The end of a job is known to be stored. Returns its dependents, which wait for it no longer.
+  // Removes and returns the dependents of a job whose end is known to be stored.
   std::set<JobId> take_dependents(const JobId& id);
-  // `id` is done: those of its dependents that wait for nothing else may start.
+  // Unblocks the dependents of `id`, which is done. Those without other open dependencies may start.
   void unblock(const JobId& id, const std::set<JobId>& dependents, Time now);
-  // Appends the job's own dependents to `queue`; used while a cancellation goes down the graph.
+  // Removes the job's dependents and appends them to `queue`; used to propagate a cancellation down the graph.
   template <class Queue>
   void take_dependents_into(const JobId& id, Queue& queue) {
     const auto it = dependents_.find(id);
@@ -37,17 +38,21 @@
     queue.insert(queue.end(), it->second.begin(), it->second.end());
     dependents_.erase(it);
   }
-  // These jobs were cancelled because `root` was; their users' answers wait until all of these ends are stored.
+  // Records that these jobs were cancelled because `root` was. The responses to its cancellation wait until all of
+  // these ends are stored.
   void add_cascade(const JobId& root, std::set<JobId> cancelled);
   void add_to_cascade(const JobId& root, const JobId& cancelled) { cascade_root_of_[cancelled] = root; }
+  // Handles the stored end of a job that a cascade cancelled.
   void on_end_stored(const JobId& id);
-  // Whether all ends that this job's cancellation brought about are stored.
+  // Returns whether the ends of all jobs that this job's cancellation cancelled are stored.
   [[nodiscard]] bool is_cascade_stored(const JobId& id) const { return !open_cascades_.contains(id); }
 
-  // Dependencies of which neither an end nor a beginning is known here: to be looked up in the store. Each is returned
-  // once, until `retry_lookup` says that nothing was found out.
+  // Returns the dependencies that this leader knows nothing about, to be looked up in the store. Each one is returned
+  // once, and again only after `retry_lookup`.
   std::vector<JobId> take_lookups();
+  // Schedules the lookup again after it got no answer.
   void retry_lookup(const JobId& id);
+  // Returns whether a lookup is due or was issued and is unresolved.
   [[nodiscard]] bool has_pending_lookups() const { return !(lookups_due_.empty() && lookups_issued_.empty()); }
   [[nodiscard]] bool has_dependents(const JobId& id) const { return dependents_.contains(id); }
 
@@ -59,9 +64,9 @@
   ClusterState& state_;
   const RunTimeEstimator& estimator_;
   const LeaderLog& log_;
-  std::map<JobId, std::set<JobId>> dependents_;  // of the jobs whose end is not known
+  std::map<JobId, std::set<JobId>> dependents_;  // dependents by job, for jobs whose end is not known
   std::set<JobId> lookups_due_, lookups_issued_;
-  std::map<JobId, std::set<JobId>> open_cascades_;  // by root: ends that are not stored yet
+  std::map<JobId, std::set<JobId>> open_cascades_;  // ends that are not stored yet, by root
   std::map<JobId, JobId> cascade_root_of_;
 };
 
--- a/src/core/scheduler/failure_tracker.cpp
+++ b/src/core/scheduler/failure_tracker.cpp
@@ -7,16 +7,17 @@
 namespace martenwall {
 
 namespace {
-// Back-off of a job whose tasks failed, doubled with each further wave of failures.
+// Back-off of a job with failed tasks. It doubles with each wave of failures.
 constexpr double initial_backoff_s = 0.5;
 constexpr double max_backoff_s = 30;
-// The same for a suspect job.
+// Back-off of a suspect job between probes. It doubles likewise.
 constexpr double initial_probe_backoff_s = 8;
 constexpr double max_probe_backoff_s = 60;
-constexpr Duration machine_cooldown = seconds(5);  // after a failure, before the machine gets further tasks
-// Within the pause most jobs have been tried elsewhere, which tells whose fault it was.
+constexpr Duration machine_cooldown = seconds(5);  // delay after a failure before the machine gets further tasks
+// During the cooldown most of the failed jobs are tried elsewhere, which shows whether the job or the machine is at
+// fault.
 constexpr Duration evaluation_delay = seconds(4);
-constexpr Duration replica_healthy_after = seconds(30);  // of running
+constexpr Duration replica_healthy_after = seconds(30);  // run time after which a replica counts as healthy
 
 double backoff_s(double initial_s, double max_s, int doublings) {
   return std::min(max_s, initial_s * std::pow(2.0, std::clamp(doublings, 0, 10)));
@@ -26,7 +27,7 @@
 void FailureTracker::on_task_error(Machine& machine, Job& job, Time now) {
   ++job.failures;
   state_.needs_cycle = true;
-  // The tasks that fail together were started together: they count as one try.
+  // Tasks that fail together were started together and count as one attempt.
   if (now >= job.not_before) ++job.failed_waves;
   if (job.done.count() == 0) job.failed_on.insert(machine.id);
   if (!job.suspect) machine.failing_jobs.insert(job.spec.id);
@@ -39,11 +40,11 @@
   machine.evaluate_at = now + evaluation_delay;
 }
 
-// Failures on the machine that are not explained by a job that fails elsewhere too.
+// Returns the number of jobs that failed on the machine and are not known to fail elsewhere too.
 int FailureTracker::unexplained_failures(const Machine& machine) const {
   return static_cast<int>(std::ranges::count_if(machine.failing_jobs, [&](const JobId& id) {
     const Job* job = std::as_const(state_).find_job(id);
-    if (job == nullptr) return true;  // it completed elsewhere; a cancelled one is taken out
+    if (job == nullptr) return true;  // completed elsewhere; cancelled jobs are removed from the set
     return !job->suspect && (job->done.count() > 0 || job->failed_machines() <= 1);
   }));
 }
@@ -59,7 +60,7 @@
   return quarantined;
 }
 
-// What failed on the machine does not speak against the jobs.
+// Failures on a quarantined machine do not count against the jobs.
 void FailureTracker::quarantine(Machine& machine) {
   machine.quarantined = true;
   for (const auto& id : machine.failing_jobs) {
@@ -105,7 +106,7 @@
 }
 
 bool FailureTracker::may_probe(Job& job, Time now) {
-  // A replica that keeps running shows that the service is well.
+  // A replica that keeps running shows that the service is healthy.
   if (job.spec.kind == JobKind::service && job.running > 0 && now - job.not_before > replica_healthy_after) {
     clear_suspicion(job, ClearReason::replica_keeps_running);
     return true;
--- a/src/core/scheduler/failure_tracker.hpp
+++ b/src/core/scheduler/failure_tracker.hpp
@@ -1,5 +1,5 @@
-// Failed tasks: is the job at fault, or the machine? Told apart by what else failed on the machine and where else the
-// job failed. A job at fault is retried seldom, a machine at fault is quarantined.
+// Attributes task failures to the job or to the machine, by which other jobs failed on the machine and on which other
+// machines the job failed. A faulty job is retried with a long back-off; a faulty machine is quarantined.
 #pragma once
 #include <vector>
 
@@ -12,16 +12,19 @@
   FailureTracker(ClusterState& state, const SchedulerOptions& options, const LeaderLog& log)
       : state_(state), options_(options), log_(log) {}
 
-  // A task of the job failed by an error of its own on the machine.
+  // Handles a task of the job that failed on the machine by an error of its own.
   void on_task_error(Machine& machine, Job& job, Time now);
-  // Suspects a job that failed on several machines while nothing of it is done.
+  // Marks the job as suspect if it failed on several machines while none of its tasks is done.
   void review_suspicion(Job& job, Time now);
+  // Clears the job's failures and, if it is suspect, its suspicion.
   void clear_suspicion(Job& job, ClearReason reason);
-  // Whether a suspect job may be tried now: an array with one task at a time. May clear the suspicion.
+  // Returns whether a suspect job may be tried now; an array is tried with one task at a time. May clear the suspicion.
   [[nodiscard]] bool may_probe(Job& job, Time now);
-  // The job's failures do not speak against machines any more; those that were quarantined for them return.
+  // Discards the job's failures as evidence against machines. Machines that were quarantined because of them return to
+  // service.
   void forget_failures_of(const Job& job, Time now);
-  // Quarantines the machines on which too many jobs failed for no reason of their own. The caller has to drain them.
+  // Quarantines the machines on which too many jobs failed that are not at fault themselves. The caller must drain
+  // them.
   std::vector<Machine*> quarantine_failing(Time now);
 
  private:
--- a/src/core/scheduler/heartbeat_reconciler.cpp
+++ b/src/core/scheduler/heartbeat_reconciler.cpp
@@ -7,11 +7,11 @@
 namespace martenwall {
 
 namespace {
-constexpr double max_clock_drift_factor = 1.001;        // of a worker's clock against this one
-constexpr Duration tombstone_retention = seconds(600);  // of released machines and finished jobs
+constexpr double max_clock_drift_factor = 1.001;        // drift of a worker's clock relative to the leader's clock
+constexpr Duration tombstone_retention = seconds(600);  // retention of released machines and finished jobs
 }  // namespace
 
-// After so long without an answer a worker's lease has surely expired.
+// Returns the time without a response after which a worker's lease has certainly expired.
 Duration HeartbeatReconciler::max_lease_duration() const {
   return seconds(options_.timings.lease_s * max_clock_drift_factor) + options_.policy.lease_margin;
 }
@@ -35,27 +35,28 @@
   const bool is_heartbeat = source == StatusSource::heartbeat;
   if (state_.released_machines.contains(heartbeat.machine)) return {};
   Machine& machine = upsert_machine(heartbeat, now);
-  // Held in the network, a heartbeat of an incarnation that has surely ended must not revive its tasks.
+  // A heartbeat delayed in the network must not revive the tasks of an incarnation that has certainly ended.
   if (heartbeat.incarnation <= machine.ended_incarnation) return {};
   const bool same_incarnation = heartbeat.incarnation == machine.incarnation;
   const bool newer =
       heartbeat.incarnation > machine.incarnation || (same_incarnation && heartbeat.sequence > machine.sequence);
-  // Heartbeats can be held in the network: an older one says nothing about now. The newest one may come twice, where a
-  // node that forwards it did not get the answer: what it is to be answered stands as it did.
+  // Heartbeats can be delayed in the network, so older ones are ignored. The newest one may arrive twice, if a node
+  // that forwards it did not get the response; its response is unchanged.
   if (machine.has_reported && same_incarnation && heartbeat.sequence == machine.sequence && is_heartbeat) {
     return {Outcome::repeated, &machine};
   }
   if (machine.has_reported ? !newer : heartbeat.incarnation < machine.incarnation) return {};
   machine.last_report_at = now;
   if (is_heartbeat) machine.last_heartbeat_at = now;
-  // The incarnation can only have ended if no answer reached the worker, or if it was restarted.
+  // An incarnation can end only if no response reached the worker, or if the worker was restarted.
   const bool was_answered =
       machine.has_reported && now - machine.lease_renewed_at < seconds(options_.timings.lease_s / 2);
   const bool lease_lapsed = was_answered && heartbeat.incarnation > machine.incarnation;
-  // One heartbeat is in flight at a time: this one was sent after the answer to the last came, or was given up.
+  // A worker has one heartbeat in flight at a time. It sent this one after it received the response to the previous one
+  // or timed out waiting for it.
   const bool unacknowledged = is_heartbeat && machine.answered_by_this_leader && heartbeat.token < options_.token;
-  // What the store says of a machine's incarnation may be older than what it says of its tasks, or missing: until the
-  // machine has reported to this leader, another incarnation proves nothing (the simulation found tasks started twice).
+  // The stored incarnation of a machine may be older than its stored tasks, or missing. Until the machine has reported
+  // to this leader, a different incarnation therefore proves nothing (the simulation found tasks started twice).
   if (machine.has_reported && !same_incarnation) on_new_incarnation(machine, now);
   if (!machine.has_reported || !same_incarnation) machine.incarnation_known_since = now;
   machine.incarnation = heartbeat.incarnation;
@@ -70,7 +71,7 @@
   return {Outcome::applied, &machine};
 }
 
-// The first report to this leader, or after a spell in which the machine was booting or lost.
+// Handles the first report to this leader, or the first one after the machine was booting or lost.
 void HeartbeatReconciler::on_first_report(Machine& machine, Time now) {
   if (!machine.has_reported) {
     machine.has_reported = true;
@@ -86,14 +87,14 @@
   }
 }
 
-// PROTOCOL: a new incarnation means that everything of the earlier ones was killed, and that commands for them are
-// refused.
+// PROTOCOL: a new incarnation means that all tasks of earlier incarnations were killed and that commands for those
+// incarnations are refused.
 void HeartbeatReconciler::on_new_incarnation(Machine& machine, Time now) {
   for (auto& placement : machine.placements) {
     if (placement.state() == TaskState::planned && placement.occupies()) continue;
-    // Of an earlier leader and not confirmed to this one: it may have been placed in the very incarnation that begins
-    // here, where the first heartbeat that came was an older one. What the worker says once it has seen this fencing
-    // token decides.
+    // A placement by an earlier leader that is not confirmed to this one may belong to the incarnation that begins
+    // here, if the first heartbeat to arrive was from an older incarnation. It is resolved by the worker's first report
+    // after it has seen this fencing token.
     if (placement.unconfirmed && placement.occupies()) continue;
     if (placement.occupies()) {
       tasks_.release_placement(machine, placement, ReleaseReason::new_incarnation, now);
@@ -104,7 +105,7 @@
   state_.erase_removed(machine);
 }
 
-// Returns whether a task is there that was not, which shows that the machine received its start.
+// Returns whether the heartbeat reports a task for the first time, which proves that the machine received its start.
 bool HeartbeatReconciler::apply_task_statuses(Machine& machine, const Heartbeat& heartbeat, Time now) {
   bool start_confirmed = false;
   for (const auto& status : heartbeat.tasks) {
@@ -126,7 +127,7 @@
   return start_confirmed;
 }
 
-// Returns whether something is missing that the answer to an earlier heartbeat told the worker to start.
+// Returns whether a task is missing that the response to an earlier heartbeat told the worker to start.
 bool HeartbeatReconciler::detect_missing_tasks(Machine& machine, const Heartbeat& heartbeat, StatusSource source,
                                                Time now) {
   std::set<std::pair<TaskId, Attempt>> present;
@@ -143,30 +144,31 @@
   return start_missed;
 }
 
-// What follows from a heartbeat that does not name this placement. Returns whether it refutes a start that was sent.
+// Handles a placement that the heartbeat does not report. Returns whether the absence proves that a start sent earlier
+// did not take effect.
 bool HeartbeatReconciler::apply_absence(Machine& machine, Placement& placement, const Heartbeat& heartbeat,
                                         StatusSource source, Time now) {
   if (placement.state() == TaskState::ended) {
-    placement.removed = true;  // the worker has forgotten it
+    placement.removed = true;  // the worker no longer tracks the task
   } else if (placement.is_reported()) {
     tasks_.release_placement(machine, placement, ReleaseReason::not_reported, now);
   } else if (placement.unconfirmed) {
-    // An earlier leader's start can still execute until the worker has seen this fencing token.
+    // A start sent by an earlier leader can still execute until the worker has seen this fencing token.
     if (heartbeat.token >= options_.token) {
       tasks_.release_placement(machine, placement, ReleaseReason::never_arrived, now);
     }
   } else if (placement.start_sequence && source == StatusSource::heartbeat &&
              heartbeat.sequence > *placement.start_sequence) {
-    // One heartbeat is in flight at a time: a later one without the task shows that the response that carried its start
-    // was not executed, and it will not be.
+    // A worker has one heartbeat in flight at a time. A later heartbeat without the task proves that the response
+    // carrying its start was not executed and will not be.
     placement.start_sequence.reset();
     return true;
   }
   return false;
 }
 
-// What was not started on an unreachable machine, and cannot start late either, goes elsewhere; what runs there is lost
-// only when its incarnation ends, which heartbeats tell.
+// Tasks that were not started on an unreachable machine, and can no longer start there, are released to be placed
+// elsewhere. Running tasks are lost only when the machine's incarnation ends, which heartbeats report.
 void HeartbeatReconciler::update_downlink(Machine& machine, const Heartbeat& heartbeat, bool delivery_confirmed,
                                           bool start_missed, Time now) {
   const auto previous = machine.downlink.state();
@@ -200,8 +202,8 @@
   it->second.answered_by_this_leader = true;
 }
 
-// An earlier leader's tasks on an unreachable machine would count as there for as long as it is "answered": it never
-// shows that it knows this fencing token. Left without answers its lease has surely expired soon, and they can start
+// Tasks of an earlier leader on an unreachable machine would count as present for as long as the machine gets
+// responses, because it never confirms this fencing token. Without responses its lease expires, and the tasks can start
 // elsewhere.
 bool HeartbeatReconciler::must_withhold_response(const MachineId& id) const {
   const auto it = state_.machines.find(id);
@@ -221,7 +223,7 @@
   state_.erase_removed(machine);
 }
 
-// PROTOCOL: the worker has killed everything by now.
+// PROTOCOL: at this point the worker has killed all its tasks.
 void HeartbeatReconciler::on_lease_expired(Machine& machine, Time now) {
   log_.machine_lost(machine);
   machine.transition_to(MachinePhase::lost, now);
@@ -238,13 +240,14 @@
   const Duration max_lease = max_lease_duration();
   for (auto& [id, machine] : state_.machines) {
     if (machine.phase() == MachinePhase::booting || machine.phase() == MachinePhase::lost) continue;
-    // One that is being released stays in its phase: it is looked at once, not each cycle until it is gone.
+    // A machine that is being released keeps its phase, so it is handled once and not in each cycle until it is gone.
     if (machine.phase() == MachinePhase::releasing && machine.placements.empty()) continue;
     if (now <= machine.lease_renewed_at + max_lease) continue;
     if (now <= machine.incarnation_known_since + max_lease) {
-      // Unanswered, an incarnation lasts for a lease from its beginning, which was perhaps a moment ago: what this
-      // leader placed in it is there (`ran_twice` in the simulation, on a machine with a lost downlink). Earlier
-      // leaders' work is not: of incarnations that began later they knew nothing.
+      // An incarnation that gets no response lasts for one lease from its start, which may be recent, so tasks that
+      // this leader placed in it may still be running (`ran_twice` in the simulation, on a machine with a lost
+      // downlink). Tasks placed by earlier leaders are gone: those leaders did not know incarnations that started
+      // later.
       release_unconfirmed(machine, now);
       continue;
     }
--- a/src/core/scheduler/heartbeat_reconciler.hpp
+++ b/src/core/scheduler/heartbeat_reconciler.hpp
@@ -1,5 +1,5 @@
-// Reconciles what workers report with what the leader recorded: which tasks run, which are missing, which nobody knows
-// of, whether the machine receives commands, and whose lease has expired.
+// Reconciles worker reports with the leader's records: detects running, missing and orphaned tasks, tracks whether the
+// machine receives commands, and expires leases.
 #pragma once
 #include "core/scheduler/task_lifecycle.hpp"
 
@@ -12,23 +12,23 @@
       : state_(state), options_(options), rows_(rows), tasks_(tasks), log_(log) {}
 
   enum class Outcome {
-    ignored,   // late, or of a machine that was released
-    repeated,  // the newest heartbeat once more: it is answered as before
+    ignored,   // outdated, or from a machine that was released
+    repeated,  // duplicate of the newest heartbeat; the response is the same as before
     applied,
   };
   struct Result {
     Outcome outcome = Outcome::ignored;
-    Machine* machine = nullptr;  // unless it was ignored
+    Machine* machine = nullptr;  // nullptr if the heartbeat was ignored
   };
-  // `source`: a heartbeat, or the same content in a reply to a command.
+  // Applies a worker's report. `source`: whether it came as a heartbeat or in the reply to a command.
   Result on_heartbeat(const Heartbeat& heartbeat, StatusSource source, Time now);
-  // A 200, which renews the worker's lease, is about to be sent to the machine.
+  // Records that a 200 response, which renews the worker's lease, is about to be sent to the machine.
   void on_heartbeat_answered(const MachineId& id, Time now);
-  // Whether the machine must not be answered, so that its worker's lease expires.
+  // Returns whether the machine must get no response, so that its worker's lease expires.
   [[nodiscard]] bool must_withhold_response(const MachineId& id) const;
-  // Machines that sent a heartbeat by themselves since then.
+  // Returns the number of machines that sent a heartbeat at or after `since`; replies to commands do not count.
   [[nodiscard]] std::size_t count_machines_reporting_since(Time since) const;
-  // Gives up what was placed on machines whose worker's lease has surely expired.
+  // Releases the placements on machines whose worker's lease has certainly expired.
   void expire_leases(Time now);
 
  private:
--- a/src/core/scheduler/job_completion.cpp
+++ b/src/core/scheduler/job_completion.cpp
@@ -38,7 +38,7 @@
   failures_.clear_suspicion(job, ClearReason::task_completed);
   if (job.spec.kind == JobKind::service) return;
   if (job.spec.kind == JobKind::gang) {
-    // The tasks of a gang complete together: if one is done, all are.
+    // The tasks of a gang complete together, so one completed task completes all of them.
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) job.done.insert(i);
   } else {
     job.complete(index);
--- a/src/core/scheduler/job_completion.hpp
+++ b/src/core/scheduler/job_completion.hpp
@@ -1,4 +1,5 @@
-// The end of a job: done when its last task completed, or cancelled. The one place where a job reaches a final phase.
+// Job completion: a job is done when its last task completes, or is cancelled. No other module moves a job to a final
+// phase.
 #pragma once
 #include "core/persistence/row_tracker.hpp"
 #include "core/scheduler/dependency_tracker.hpp"
@@ -20,9 +21,9 @@
         record_(record),
         log_(log) {}
 
-  // `phase` is a final one. The job's tasks that are still on machines are not touched.
+  // Finishes the job. `phase` must be a final phase. The job's tasks that are still on machines are not changed.
   void finish(Job& job, JobPhase phase, Time now);
-  // A task completed; the last one finishes the job.
+  // Handles a completed task; the last one finishes the job.
   void on_task_done(Job& job, std::uint32_t index, Time now);
 
  private:
--- a/src/core/scheduler/leader_log.cpp
+++ b/src/core/scheduler/leader_log.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t max_ids = 5;  // of a list of jobs; the rest is counted
+constexpr std::size_t max_ids = 5;  // ids written out of a list of jobs; its length is logged as well
 
-// Comma-separated, at most `max_ids` of them.
+// Returns the first `max_ids` ids, separated by commas.
 std::string join_ids(const std::set<JobId>& ids) {
   std::string out;
   std::size_t written = 0;
--- a/src/core/scheduler/leader_log.hpp
+++ b/src/core/scheduler/leader_log.hpp
@@ -1,5 +1,5 @@
-// The leader's log events: a stable message and `key=value` fields, one function for each event. docs/operating.md
-// lists what each means and what on-call does about it; tools/served.py reads some of them.
+// The leader's log events: a stable message with `key=value` fields, one function per event. docs/operating.md lists
+// the meaning of each event and the on-call action; tools/served.py parses some of them.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,72 +14,73 @@
 
 namespace martenwall {
 
-// Why a placement was given up: its task may start elsewhere.
+// Reason for the release of a placement, after which its task may start elsewhere.
 enum class ReleaseReason : std::uint8_t {
-  new_incarnation,       // the worker restarted: everything of its earlier incarnations was killed
-  not_reported,          // it was reported before and is missing from a later heartbeat
-  never_arrived,         // an earlier leader's start, which can no longer take effect
-  withdrawn,             // it was to be stopped before it started, and its start can no longer take effect
-  not_started,           // it was to be stopped before its start was sent
+  new_incarnation,       // the worker restarted and killed all tasks of earlier incarnations
+  not_reported,          // reported before, and missing from a later heartbeat
+  never_arrived,         // a start by an earlier leader that can no longer take effect
+  withdrawn,             // stop requested before the task started; its start can no longer take effect
+  not_started,           // stop requested before its start was sent
   downlink_unreachable,  // the machine does not receive commands
-  placement_lease_over,  // the lease under which an earlier leader placed it has expired
+  placement_lease_over,  // the lease under which an earlier leader placed the task has expired
   lease_expired,         // the machine's lease has expired
   machine_failed,        // the cloud lists the machine as failed
   machine_removed,       // the machine was released or vanished from the cloud's list
 };
 std::string_view name_of(ReleaseReason reason);
 
-// Why a task is to be stopped.
+// Reason for the stop of a task.
 enum class StopReason : std::uint8_t {
-  cancelled,             // its job was cancelled
-  dependency_cancelled,  // a job that its job depends on was cancelled
-  gang_broken,           // another task of its gang was lost
-  over_quota,            // its team is beyond its limit
-  preempted,             // for a job of higher priority, or within its team's guarantee
-  machine_reclaimed,     // the cloud takes its spot machine back
-  machine_quarantined,   // its machine fails the tasks that it starts
+  cancelled,             // the job was cancelled
+  dependency_cancelled,  // a dependency of the job was cancelled
+  gang_broken,           // another task of the gang was lost
+  over_quota,            // the team exceeds its limit
+  preempted,             // preempted for a job of higher priority or within its team's guarantee
+  machine_reclaimed,     // the cloud reclaims the spot machine
+  machine_quarantined,   // tasks fail on the machine
 };
 std::string_view name_of(StopReason reason);
 
-// A stop and, where it is a preemption, the job that gets the room. The id must outlive the call that it is passed to.
+// Cause of a stop. `beneficiary` is the job that gets the capacity in a preemption, otherwise nullptr. The id must
+// outlive the call that the cause is passed to.
 struct StopCause {
   StopReason reason = StopReason::cancelled;
   const JobId* beneficiary = nullptr;
 };
 
-// Why a machine is drained.
+// Reason for draining a machine.
 enum class DrainReason : std::uint8_t { reclaimed, quarantined };
 std::string_view name_of(DrainReason reason);
 
-// Why a machine is no longer part of the fleet.
+// Reason for the removal of a machine from the fleet.
 enum class RemovalReason : std::uint8_t { vanished, released };
 std::string_view name_of(RemovalReason reason);
 
-// Why a job is no longer suspected of failing by its own fault.
+// Reason for clearing a job's suspicion of failing by its own fault.
 enum class ClearReason : std::uint8_t { task_completed, replica_keeps_running };
 std::string_view name_of(ClearReason reason);
 
-// What happened to tasks since the last summary.
+// Task events since the last summary.
 struct TaskCounts {
   std::size_t placed = 0, started = 0, ended = 0, completed = 0;
 };
 
-// A sample of the fleet and of the work without a place.
+// A sample of the fleet and of the pending work.
 struct FleetSample {
   std::size_t busy = 0, busy_spot = 0, idle = 0, idle_spot = 0, booting = 0;
   std::size_t pending_tasks = 0, pending_jobs = 0, deferred_jobs = 0;
 };
 
-// Used by the modules of the scheduler only; other parts of the service log by themselves.
+// Log of the scheduler's modules. Other parts of the service have their own log.
 class LeaderLog {
  public:
   using Sink = std::function<void(const std::string&)>;
-  // `log_each_task`: also each task's placement, beginning and ordinary end, which a large fleet has hundreds of a
+  // `log_each_task`: also logs each task's placement, start and ordinary end, of which a large fleet has hundreds per
   // second.
   LeaderLog(Sink sink, bool log_each_task) : sink_(std::move(sink)), log_each_task_(log_each_task) {}
 
   void job_accepted(const Job& job) const;
-  void job_running(const Job& job, Time now) const;  // all of its tasks have begun
+  void job_running(const Job& job, Time now) const;  // all tasks have started
   void job_done(const Job& job, double task_run_time_s, Time now) const;
   void job_cancelled(const Job& job, double task_run_time_s, Time now) const;
   void job_blocked(const Job& job) const;
--- a/src/core/scheduler/machine_inventory.cpp
+++ b/src/core/scheduler/machine_inventory.cpp
@@ -9,7 +9,7 @@
   auto [it, added] = state_.machines.try_emplace(listed.id, listed.id);
   Machine& machine = it->second;
   if (added) {
-    // Hired by an earlier leader, or by a request that was executed late: used like any other.
+    // Requested by an earlier leader, or by a request that was executed late. It is used like any other machine.
     machine.first_known = now - seconds(listed.age_s);
     machine.last_report_at = machine.idle_since = now;
     machine.lease_renewed_at = std::max(now, options_.previous_leader_valid_until);
@@ -37,7 +37,7 @@
   }
   std::vector<MachineId> vanished;
   for (const auto& [id, machine] : state_.machines) {
-    // Listed once, it stays listed until it is gone; but a list can be older than one before it.
+    // A machine stays listed until it is gone, but a list can be older than the one before it.
     const bool was_listed = machine.listed_at && requested_at - *machine.listed_at > 2 * max_staleness + seconds(2);
     if (was_listed && !present.contains(id)) vanished.push_back(id);
   }
--- a/src/core/scheduler/machine_inventory.hpp
+++ b/src/core/scheduler/machine_inventory.hpp
@@ -1,4 +1,4 @@
-// Which machines the fleet has, by the cloud's list.
+// Maintains the set of machines in the fleet from the cloud's machine list.
 #pragma once
 #include <vector>
 
@@ -12,8 +12,10 @@
                    const LeaderLog& log)
       : state_(state), options_(options), rows_(rows), tasks_(tasks), log_(log) {}
 
-  // The cloud's list, asked for at `asked`; it may be older than that by `lag`.
+  // Applies the cloud's list, which was requested at `requested_at` and may be outdated by up to `max_staleness` at
+  // that time.
   void on_list(const std::vector<ListedMachine>& list, Time requested_at, Duration max_staleness, Time now);
+  // Removes machines whose release the cloud has confirmed.
   void on_released(const std::vector<MachineId>& ids, Time now);
 
  private:
