--- a/src/core/scheduler/placement_stage.cpp
+++ b/src/core/scheduler/placement_stage.cpp
@@ -8,14 +8,16 @@
 
 namespace {
 
-constexpr std::size_t max_matrix_cells = 200'000;  // of the matrix: jobs beyond wait for the next cycle
+// Limit on the size of the Job-Machine matrix. Further jobs wait for the next cycle.
+constexpr std::size_t max_matrix_cells = 200'000;
 constexpr std::size_t min_jobs = 100;
-constexpr std::uint32_t max_array_window =
-    4000;  // indices between an array's lowest unfinished task and its last started
-constexpr Duration start_overdue_after =
-    seconds(120);                               // half of the time within which the largest jobs too are to begin
-constexpr double max_fetch_time_factor = 1.33;  // PROTOCOL: fetches take their time give or take a third
-constexpr double rounding_tolerance = 1e-6;     // of sums of floating-point amounts
+// Maximum distance in indices from an array's lowest unfinished task to its last started one.
+constexpr std::uint32_t max_array_window = 4000;
+// Half of the time within which even the largest jobs should start.
+constexpr Duration start_overdue_after = seconds(120);
+// PROTOCOL: a fetch takes its nominal time, plus or minus a third.
+constexpr double max_fetch_time_factor = 1.33;
+constexpr double rounding_tolerance = 1e-6;  // tolerance for sums of floating-point amounts
 
 bool is_placed_before(const PendingJob& a, const PendingJob& b) {
   if (a.job->suspect != b.job->suspect) return b.job->suspect;
@@ -26,7 +28,8 @@
   return a.job->ready_at < b.job->ready_at;
 }
 
-// An array of which nothing began for long is about its first task alone, so that it costs the others next to nothing.
+// Boosts an array that has waited long without a start, for its first task only, so that other jobs lose almost
+// nothing.
 void boost_first_task(PendingJob& pending, Time now) {
   const auto& job = *pending.job;
   const bool has_started = job.next_attempt > 1 || job.spec.kind == JobKind::gang || job.suspect || pending.spot_only;
@@ -40,7 +43,7 @@
 
 // ---- the problem ----
 
-// The unfinished jobs that their team's guarantee covers, those ready first before the others.
+// Returns the unfinished jobs that their team's guarantee covers, in the order in which they became ready.
 std::set<JobId> PlacementStage::jobs_within_guarantee() const {
   std::map<std::string, std::vector<const Job*>> by_team;
   for (const auto& [id, job] : state_.jobs) {
@@ -65,9 +68,10 @@
   return out;
 }
 
-// A task that has its image waits `gang_wait_s` for the others and gives up: where the fetch takes longer, some with
-// the image and some without never start, and take the fetch down with them. After a long wait for room of one
-// kind it is tried all the same, since fetches differ.
+// Returns whether the tasks of a gang must either all have the image or all fetch it. A task with the image waits
+// `gang_wait_s` for the others and then gives up. If a fetch takes longer than that, a mix of machines with and without
+// the image never starts, and the failed start aborts the fetch as well. After a long wait for machines of one kind a
+// mix is tried anyway, because fetch times vary.
 bool PlacementStage::needs_uniform_image(const Job& job, Time now) const {
   if (job.spec.kind != JobKind::gang || job.spec.tasks < 2) return false;
   double fetch_s = 0;
@@ -80,16 +84,16 @@
   return fetch_s * max_fetch_time_factor > wait_s && now - job.waiting_since < seconds(2 * wait_s);
 }
 
-// Best-effort work that may use spot machines leaves the ordinary ones to those who may not: there it would be
-// preempted for the next gang, and cost three times as much. Not for ever: where spot machines do not come it may use
-// any.
+// Returns whether the job may use spot machines only. Best-effort work that may run on spot machines leaves ordinary
+// machines to jobs that may not; there it would be preempted for the next gang, and would cost three times as much. The
+// restriction is lifted after a waiting period, in case spot machines are not available.
 bool PlacementStage::is_restricted_to_spot(const Job& job, bool any_spot, Time now) const {
   if (!job.spec.spot || !state_.is_best_effort(job)) return false;
   const auto& policy = options_.policy;
   return now - job.ready_at < (any_spot ? policy.best_effort_spot_wait : policy.best_effort_spot_wait_without_spot);
 }
 
-// How many tasks of the job may be placed now.
+// Returns how many tasks of the job may be placed in this cycle.
 std::uint32_t PlacementStage::placeable_tasks(Job& job, Time now) {
   if (is_final(job.phase) || job.phase == JobPhase::blocked || now < job.not_before) return 0;
   const bool gang = job.spec.kind == JobKind::gang;
@@ -123,7 +127,7 @@
 }
 
 void PlacementStage::add_machines(PlacementProblem& problem, Time now) {
-  // A machine without room for even the smallest need costs nothing further.
+  // Machines that cannot hold even the smallest request are skipped, to reduce the size of the matrix.
   Resources min_need{1e18, 1e18, 1e18};
   for (const auto& pending : problem.jobs) min_need = min_need.component_min(pending.job->spec.need);
   for (auto& [id, machine] : state_.machines) {
@@ -147,7 +151,7 @@
   add_pending_jobs(problem, now);
   add_machines(problem, now);
   const auto max_jobs = std::max(min_jobs, max_matrix_cells / std::max<std::size_t>(1, problem.machines.size()));
-  // The others' turn comes in the next cycle.
+  // The remaining jobs are handled in the next cycle.
   state_.needs_cycle = problem.jobs.size() > max_jobs;
   if (state_.needs_cycle) problem.jobs.resize(max_jobs);
   return problem;
--- a/src/core/scheduler/placement_stage.hpp
+++ b/src/core/scheduler/placement_stage.hpp
@@ -1,5 +1,5 @@
-// The heart of a scheduling cycle: makes up the Job-Machine matrix of the pending jobs and the machines with room, and
-// places tasks by greedy highest-first matching (Capannini et al., section 4).
+// Placement stage of a scheduling cycle: builds the Job-Machine matrix of pending jobs and machines with free capacity,
+// and places tasks by greedy highest-first matching (Capannini et al., section 4).
 #pragma once
 #include <set>
 #include <vector>
@@ -27,10 +27,10 @@
         record_(record),
         log_(log) {}
 
-  // The pending jobs, best first, and the machines with room. Resets `ClusterState::needs_cycle`, unless there are more
-  // jobs than one cycle can take.
+  // Returns the pending jobs in order of preference and the machines with free capacity. Resets
+  // `ClusterState::needs_cycle`, unless there are more jobs than one cycle can handle.
   PlacementProblem build_problem(Time now);
-  // Places what fits. Returns the teams' usage once all of it counts.
+  // Places the tasks that fit. Returns the teams' usage including the new placements.
   QuotaUsage match_and_place(PlacementProblem& problem, Time now);
 
  private:
--- a/src/core/scheduler/preemptor.cpp
+++ b/src/core/scheduler/preemptor.cpp
@@ -9,23 +9,24 @@
 namespace martenwall {
 
 namespace {
-// Bounds on the work of one cycle; other jobs' turn comes in the next.
+// Limits on the work of one cycle. Jobs beyond them are handled in later cycles.
 constexpr std::size_t max_preemptions = 24;
 constexpr std::size_t max_attempts = 48;
 constexpr std::size_t min_attempts = 4;
-constexpr std::size_t max_machine_evaluations = 150'000;  // looked at in all tries together
-constexpr Duration retry_delay = seconds(0.2);            // where nothing could be stopped for a job
-constexpr double min_preemption_time_s = 4;               // checkpoint, stop and start take at least so long
-constexpr double start_allowance_s = 8;                   // beyond the checkpoints, until the room is given to others
+constexpr std::size_t max_machine_evaluations = 150'000;  // over all attempts of a cycle together
+constexpr Duration retry_delay = seconds(0.2);            // delay after an attempt that found no victims for the job
+constexpr double min_preemption_time_s = 4;               // minimum time for checkpoint, stop and start
+constexpr double start_allowance_s = 8;  // time after the checkpoints for which the freed capacity stays reserved
 }  // namespace
 
-// When the job could start without stopping anything; nothing where no room is coming.
+// Returns the time at which the job could start without preemption, or nothing if no capacity is expected.
 std::optional<Time> Preemptor::earliest_start_without_preemption(const Job& job, Time now) const {
   if (!job.capacity_expected_at) return std::nullopt;
   return std::max(now, *job.capacity_expected_at) + seconds(state_.fetch_time_s(job.spec));
 }
 
-// Stopping others is worth its cost where it meets a target that waiting misses, or where no room is coming.
+// Returns whether the job should wait instead of preempting. Preemption is worth its cost if it meets a target that
+// waiting would miss, or if no capacity is expected.
 bool Preemptor::should_wait_for_capacity(const PendingJob& pending, Time now) const {
   const auto& job = *pending.job;
   const auto expected = earliest_start_without_preemption(job, now);
@@ -38,7 +39,8 @@
   });
 }
 
-// The victims on one machine, cheapest first; what is being stopped already counts as room.
+// Adds the possible victims on one machine, those with the least lost work first. Tasks that are already being stopped
+// count as free capacity.
 void Preemptor::add_victims(VictimMachine& entry, VictimLookup& lookup, Time now) const {
   for (const auto& placement : entry.machine->placements) {
     if (!placement.occupies()) continue;
@@ -78,9 +80,9 @@
 
 bool Preemptor::may_preempt_for(const PendingJob& pending, Time now) const {
   const Job& job = *pending.job;
-  // The lowest priority has nothing below it; only a guarantee lets it stop others.
+  // No work has a lower priority than best effort, so best-effort jobs preempt only within their team's guarantee.
   if (pending.count == 0 || (job.priority == Priority::best_effort && !pending.within_guarantee)) return false;
-  if (job.suspect) return false;  // it takes what is free
+  if (job.suspect) return false;  // suspect jobs use only free capacity
   return now >= job.preempt_after && !is_preempting_for(job.spec.id) && !should_wait_for_capacity(pending, now);
 }
 
@@ -125,7 +127,7 @@
     if (victim == nullptr) continue;
     const double victim_grace_s = grace_s(options_.policy, victim->spec);
     max_grace_s = std::max(max_grace_s, victim_grace_s);
-    // A gang is stopped whole and in order; of an array, only the chosen task.
+    // A gang is stopped as a whole with checkpoints; of an array, only the selected task is stopped.
     if (victim->spec.kind == JobKind::gang) {
       tasks_.stop_gracefully(*victim, cause, now);
       continue;
@@ -138,7 +140,7 @@
     }
   }
   const Time until = now + seconds(max_grace_s + start_allowance_s);
-  // Removed placements are not erased here: the table of victims points at them until the end of the cycle.
+  // Removed placements are not erased here, because the victim table points to them until the end of the cycle.
   for (auto* machine : plan.machines) {
     machine->reserved_for = beneficiary;
     machine->reserved_until = until;
--- a/src/core/scheduler/preemptor.hpp
+++ b/src/core/scheduler/preemptor.hpp
@@ -1,5 +1,5 @@
-// Preemption: stops running work for pending jobs of higher priority, or within their team's guarantee, where waiting
-// for free capacity would miss a target.
+// Preemption: stops running tasks for pending jobs of higher priority, or within their team's guarantee, if waiting for
+// free capacity would miss a target.
 #pragma once
 #include <map>
 #include <optional>
@@ -19,18 +19,18 @@
   Preemptor(ClusterState& state, const SchedulerOptions& options, const ServiceTargets& targets, TaskLifecycle& tasks)
       : state_(state), options_(options), targets_(targets), tasks_(tasks) {}
 
-  // For the jobs that found no place in this cycle. Returns how many tasks it had to look at as possible victims.
+  // Preempts tasks for jobs that were not placed in this cycle. Returns the number of tasks considered as victims.
   std::size_t run(PlacementProblem& problem, Time now);
-  // Whether room is being made for the job by stopping others.
+  // Returns whether capacity is being freed for the job by preemption.
   [[nodiscard]] bool is_preempting_for(const JobId& id) const { return reserved_until_.contains(id); }
 
  private:
   [[nodiscard]] VictimTable victims(const PlacementProblem& problem, Time now);
-  // Looked up once in a cycle: many placements are of few jobs and teams.
+  // Cache for one cycle: many placements belong to few jobs and teams.
   struct VictimLookup {
     struct KnownJob {
-      const Job* job = nullptr;  // nullptr: not known any more
-      bool guaranteed = false;   // within its team's guarantee
+      const Job* job = nullptr;  // nullptr if the job is no longer known
+      bool guaranteed = false;   // the job is within its team's guarantee
     };
     const PlacementProblem& problem;
     std::set<std::string> teams_over_guarantee;
@@ -46,7 +46,7 @@
   const SchedulerOptions& options_;
   const ServiceTargets& targets_;
   TaskLifecycle& tasks_;
-  std::map<JobId, Time> reserved_until_;  // jobs for which machines are being cleared
+  std::map<JobId, Time> reserved_until_;  // end of the reservation, by the job for which tasks are preempted
 };
 
 }  // namespace martenwall
--- a/src/core/scheduler/quota_enforcer.cpp
+++ b/src/core/scheduler/quota_enforcer.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-constexpr double rounding_tolerance = 1e-6;  // of sums of floating-point amounts
+constexpr double rounding_tolerance = 1e-6;  // tolerance for sums of floating-point amounts
 
-// A limit of 0 binds nothing. A team that is not configured may use nothing.
+// A limit of 0 means no limit. A team that is not configured may use nothing.
 bool exceeds_limit(const Team* team, const Resources& used) {
   if (team == nullptr) return used.cpus > rounding_tolerance || used.gpus > rounding_tolerance;
   const auto exceeds = [](double limit, double amount) { return limit > 0 && amount > limit + rounding_tolerance; };
   return exceeds(team->limit.cpus, used.cpus) || exceeds(team->limit.gpus, used.gpus);
 }
 
-// What is stopped first: what does not run yet, then lower priorities, then what was placed last.
+// Orders the tasks to be stopped: first those that do not run yet, then those of lower priority, then those placed
+// last.
 bool is_stopped_before(const Placement& a, const Placement& b) {
   const bool a_runs = a.running_since != Time{};
   const bool b_runs = b.running_since != Time{};
@@ -40,7 +41,7 @@
 
 void QuotaEnforcer::enforce(const std::string& team, Time now) {
   constexpr StopCause cause{StopReason::over_quota};
-  Resources used = state_.quota_usage.used(team);  // once all that is being stopped has gone
+  Resources used = state_.quota_usage.used(team);  // usage after all requested stops are complete
   std::vector<std::pair<Machine*, Placement*>> candidates;
   for (auto& [id, machine] : state_.machines) {
     for (auto& placement : machine.placements) {
@@ -56,7 +57,7 @@
   std::set<MachineId> changed;
   for (const auto& [machine, placement] : candidates) {
     if (!exceeds_limit(state_.find_team(team), used)) break;
-    if (placement->stop_requested) continue;  // with the rest of its gang
+    if (placement->stop_requested) continue;  // already stopped with its gang
     Job* job = state_.find_job(placement->task.job);
     const bool gang = job != nullptr && job->spec.kind == JobKind::gang;
     used.add(placement->need, gang ? -static_cast<double>(job->placed.size()) : -1);
--- a/src/core/scheduler/quota_enforcer.hpp
+++ b/src/core/scheduler/quota_enforcer.hpp
@@ -1,4 +1,4 @@
-// Team limits that change while work runs: what a team has on machines beyond its limit is stopped.
+// Enforces team limits that change while work runs: stops a team's tasks beyond its limit.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,9 +12,11 @@
   QuotaEnforcer(ClusterState& state, const SchedulerOptions& options, TaskLifecycle& tasks)
       : state_(state), options_(options), tasks_(tasks) {}
 
-  // Stops what runs beyond the limits, lowest priority first; only once limits may have changed.
+  // Stops tasks beyond the limits. Tasks that do not run yet are stopped first, then those of lower priority. Does
+  // nothing unless limits may have changed.
   void enforce(Time now);
-  // Why nothing of a job can start, where that lies with its team's limit; otherwise empty. Users read this text.
+  // Returns the reason why no task of the job can start, if it is its team's limit; otherwise an empty string. Users
+  // read this text.
   [[nodiscard]] std::string pending_reason(const Job& job) const;
 
  private:
--- a/src/core/scheduler/run_time_estimator.cpp
+++ b/src/core/scheduler/run_time_estimator.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr double learning_rate = 0.1;
-// One task that runs far off its estimate must not spoil the estimates of its whole class.
+// Bounds on the ratio of one task, so that an outlier does not distort the estimates of its whole class.
 constexpr double min_ratio = 0.2;
 constexpr double max_ratio = 5.0;
 }  // namespace
--- a/src/core/scheduler/run_time_estimator.hpp
+++ b/src/core/scheduler/run_time_estimator.hpp
@@ -1,4 +1,4 @@
-// Corrects users' estimates of run times by what tasks of the same class really took.
+// Corrects the users' run time estimates by the actual run times of tasks of the same class.
 #pragma once
 #include <map>
 #include <string>
@@ -9,13 +9,14 @@
 
 class RunTimeEstimator {
  public:
-  // A task completed now. Jobs without an estimate, or of which a task failed, teach nothing.
+  // Updates the ratio of the job's class with a task that completed at `now`. Jobs without an estimate or with a failed
+  // task are ignored.
   void learn(const Job& job, const Placement& placement, Time now);
-  // The job's estimate times the learned ratio of its class, seconds.
+  // Returns the job's estimate times the learned ratio of its class, in seconds.
   [[nodiscard]] double estimate_s(const Job& job) const;
 
  private:
-  std::map<std::string, double> ratio_by_class_;  // actual run time over the estimate, moving average
+  std::map<std::string, double> ratio_by_class_;  // moving average of actual run time divided by estimate
 };
 
 }  // namespace martenwall
--- a/src/core/scheduler/scheduler.cpp
+++ b/src/core/scheduler/scheduler.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-constexpr double submission_interval_smoothing = 0.05;  // of the moving average of the time between submissions
-constexpr double max_submission_interval_s = 60;        // that counts in it
+// Weight of a new sample in the moving average of the submission interval.
+constexpr double submission_interval_smoothing = 0.05;
+constexpr double max_submission_interval_s = 60;  // longer intervals are clamped to this
 
 RowFormat row_format_of(const SchedulerOptions& options) {
   return {options.range_rows, options.v1_row_size, options.range_size, options.group_size};
@@ -39,7 +40,7 @@
 
 void Scheduler::load_job(Job job, Time now) {
   job.waiting_since = std::min(now, job.submitted);
-  // When an earlier leader saw the last of its dependencies done is not stored: its times count from now.
+  // The store does not record when the last dependency was done, so the job's times count from now.
   job.ready_at = job.spec.dependencies.empty() ? job.submitted : now;
   job.reset_urgency();
   job.image = state_.image_id(job.spec.image);
@@ -63,7 +64,7 @@
   auto [it, residual] = state_.jobs.try_emplace(row.job);
   Job& job = it->second;
   if (residual) {
-    // Its job is over: a cancellation that the old leader stored but could not carry out.
+    // The job has ended: the old leader stored its cancellation but did not finish stopping its tasks.
     job.spec.id = row.job;
     job.spec.team = row.team;
     job.spec.need = row.need;
@@ -71,11 +72,11 @@
     job.transition_to(JobPhase::cancelled);
     job.residual = job.end_is_stored = true;
   }
-  // An attempt that was recorded was used.
+  // Recorded attempt numbers may have been used and must not be reused.
   job.next_attempt = std::max(job.next_attempt, row.next_attempt);
   job.failed_before = std::max(job.failed_before, row.failed_machines);
   const auto end = row.first + row.size;
-  std::set<std::uint32_t> covered_by_later_rows;  // indices that a row which begins later tells of
+  std::set<std::uint32_t> covered_by_later_rows;  // indices covered by a row with a higher first index
   for (auto i = row.first; i < end; ++i) {
     if (is_covered(job, i)) covered_by_later_rows.insert(i);
   }
@@ -94,7 +95,7 @@
   Machine& machine = state_.find_or_add_machine(placed.machine, now);
   if (machine.zone.empty()) machine.zone = placed.zone;
   const TaskId task{row.job, placed.index};
-  if (machine.find(task, placed.attempt) != nullptr) return;  // earlier versions told it twice
+  if (machine.find(task, placed.attempt) != nullptr) return;  // earlier versions recorded a placement twice
   Placement placement{task, placed.attempt, Generation{0}, now};
   placement.team = row.team;
   placement.need = row.need;
@@ -120,7 +121,7 @@
     rows_.finish_load(job, now);
     if (job.residual) continue;
     finish_load(job, now);
-    // Its last result was stored, its end was not.
+    // The previous leader stored the last result but not the end of the job.
     if (job.done.count() >= job.spec.tasks) finished.push_back(id);
     const bool partial = !job.placed.empty() && job.placed.size() != job.spec.tasks;
     if (job.spec.kind == JobKind::gang && partial) tasks_.stop_broken_gang(job, now);
@@ -134,9 +135,9 @@
   for (std::uint32_t i = job.done.lowest_unfinished(); i < job.next_unstarted; ++i) {
     if (!job.done.contains(i) && !job.placed.contains(i)) job.requeued.insert(i);
   }
-  job.start_counted = job.pending_tasks() == 0;  // by an earlier leader
+  job.start_counted = job.pending_tasks() == 0;  // already counted by an earlier leader
   if (!job.placed.empty() || job.done.count() > 0) job.transition_to(JobPhase::running);
-  // Where a row of its tasks is stored, an earlier leader found all that it depends on done.
+  // If task rows of the job are stored, an earlier leader has already found all its dependencies done.
   if (job.task_ranges.empty() && job.v1_rows.empty()) register_dependencies(job, now);
   failures_.review_suspicion(job, now);
 }
@@ -182,15 +183,16 @@
 std::optional<JobStatus> Scheduler::status(const JobId& id) const {
   const Job* job = state_.find_job(id);
   if (job == nullptr || job->residual) return std::nullopt;
-  // A dependency may be cancelled, and its user told, perhaps long ago: while that is looked up, or this job's own end
-  // is not stored yet, it is not called active.
+  // A dependency may already be cancelled, and its user notified. The job is therefore not reported as active while
+  // dependencies are being looked up or while its own end is not stored.
   const bool has_open_dependencies = !job->end_is_stored && !job->open_dependencies.empty();
   if (has_open_dependencies && (dependencies_.has_pending_lookups() || is_final(job->phase))) return std::nullopt;
-  // A transaction without an answer may have stored its end: another node reads it and tells the user, and this one
-  // would call the job active after that (`went_back` on a day with late writes). The store knows.
+  // A transaction without an answer may have stored the job's end. Another node could read that end and report it to
+  // the user, after which this node would report the job as active again (`went_back` in the simulation of a day with
+  // late writes). Only the store has the answer.
   if (job->end_write_sent && !job->end_is_stored) return std::nullopt;
   JobStatus status{id, job->phase, std::min(job->done.count(), job->spec.tasks), job->running};
-  // A final phase is told only once it is stored: until then the job is as it was before.
+  // A final phase is reported only once it is stored. Until then the job is reported in its previous phase.
   if (is_final(status.phase) && job->end_is_stored) return status;
   status.phase = status.running > 0 ? JobPhase::running : JobPhase::pending;
   if (status.running == 0) status.pending_reason = quotas_.pending_reason(*job);
@@ -226,8 +228,8 @@
   auto problem = placement_.build_problem(now);
   cycle_size_ = {problem.jobs.size(), problem.machines.size(), 0};
   auto used = placement_.match_and_place(problem, now);
-  // Preemption first: what it makes room for needs no further machine. What capacity was on its way when it was last
-  // planned tells whether stopping others is worth it.
+  // Preemption runs before capacity planning, because jobs served by it need no further machine. It uses the capacity
+  // forecast of the previous plan to decide whether preemption is worthwhile.
   cycle_size_.preemption_candidates = preemptor_.run(problem, now);
   capacity_.plan(problem, used, now);
   if (!capacity_.is_sample_due(now)) return;
--- a/src/core/scheduler/scheduler.hpp
+++ b/src/core/scheduler/scheduler.hpp
@@ -1,5 +1,5 @@
-// The leader's scheduler: a front for the modules of core/scheduler, which share one ClusterState. No I/O and no clock:
-// time and events come in; commands, rows to be stored and requests to the cloud go out.
+// The leader's scheduler: a facade over the modules of core/scheduler, which share one ClusterState. It does no I/O and
+// reads no clock: its inputs are times and events, its outputs are worker commands, rows to store and cloud requests.
 #pragma once
 #include <functional>
 #include <map>
@@ -35,38 +35,44 @@
   using Log = LeaderLog::Sink;
   Scheduler(Options options, Log log);
 
-  // ---- Recovery: a new leader loads what is stored, in this order. ----
-  // A task row without a job is what a finished one left behind. Of each job the rows of format 2 come first, those
-  // that begin last before the others; then those of format 1.
+  // ---- Recovery: a new leader loads the stored rows in this order. ----
+  // A task row without a job row belongs to a finished job. For each job the rows of format 2 are loaded first, in
+  // descending order of their first index, and then those of format 1.
   void load_job(Job job, Time now);
   void load_machine(const MachineRecord& record, Time now);
   void load_tasks(const TaskRow& row, Time now);
+  // Completes the load: requeues unfinished tasks that are on no machine, registers dependencies, finishes jobs whose
+  // last result was stored without their end, and stops incomplete gangs.
   void finish_load(Time now);
 
   // ---- Configuration. ----
+  // Sets the machine types that the cloud offers.
   void set_types(std::vector<MachineType> types) { state_.types = std::move(types); }
   [[nodiscard]] bool knows_types() const { return !state_.types.empty(); }
-  // The operators changed the configuration: from now on these hold.
+  // Applies a configuration change by the operators.
   void configure(const std::vector<Team>& teams, const Policy& policy);
 
   // ---- Users. ----
+  // Adds a submitted job. A job that is already known, or that became final under this leadership, is ignored.
   void add_job(Job job, Time now);
-  // Became final under this leadership: an older read of its row must not bring it back.
+  // Returns whether the job reached a final phase under this leadership. An older read of its row must not restore it.
   [[nodiscard]] bool was_finished(const JobId& id) const { return state_.finished_jobs.contains(id); }
   [[nodiscard]] const Job* find_job(const JobId& id) const { return state_.find_job(id); }
-  // What users may be told now; nothing where only the store knows.
+  // Returns the status that users may be given, or nothing if only the store has the answer.
   [[nodiscard]] std::optional<JobStatus> status(const JobId& id) const;
-  // Marks the job cancelled; the answer may go out once `status` tells it. False: not known here.
+  // Cancels the job. The response may be sent once `status` reports the cancellation. Returns false if the job is not
+  // known to this leader.
   bool cancel(const JobId& id, Time now);
 
-  // ---- Dependencies whose state is not known here (DependencyTracker). ----
+  // ---- Dependencies with unknown state (DependencyTracker). ----
   std::vector<JobId> take_lookups() { return dependencies_.take_lookups(); }
   void on_dependency_end_found(const JobId& id, JobPhase phase, Time now) { tasks_.on_job_ended(id, phase, now); }
   void retry_lookup(const JobId& id) { dependencies_.retry_lookup(id); }
   [[nodiscard]] bool is_cascade_stored(const JobId& id) const { return dependencies_.is_cascade_stored(id); }
 
   // ---- Workers (HeartbeatReconciler, WorkerCommandDispatcher). ----
-  // Returns the commands for the response. `lease_valid`: this leader's lease is, so that starts may go out.
+  // Applies the heartbeat and returns the commands for the response. `lease_valid`: the leader's lease is valid, so
+  // that starts may be sent.
   std::vector<Command> on_heartbeat(const Heartbeat& heartbeat, StatusSource source, Time now, bool lease_valid);
   [[nodiscard]] bool is_released(const MachineId& id) const { return state_.released_machines.contains(id); }
   [[nodiscard]] std::size_t count_machines_reporting_since(Time since) const {
@@ -98,11 +104,12 @@
   }
 
   // ---- The scheduling cycle: lease expiry, quarantine, quotas, placement, preemption, capacity. ----
+  // Runs one scheduling cycle. Places nothing until the machine types are known.
   void run_cycle(Time now);
   void expire_leases(Time now) { reconciler_.expire_leases(now); }
-  // Something happened since the last cycle that may change its outcome.
+  // Returns whether an event since the last cycle may change the outcome of the next one.
   [[nodiscard]] bool needs_cycle() const { return state_.needs_cycle; }
-  // What the last cycle had to look at; its cost follows these.
+  // Input size of the last cycle, which determines its cost.
   struct CycleSize {
     std::size_t jobs = 0, machines = 0, preemption_candidates = 0;
   };
@@ -120,6 +127,7 @@
     rows_.requeue(writes, delay, now);
   }
   [[nodiscard]] std::size_t v1_row_count() const { return rows_.v1_row_count(); }
+  // Handles rows that the store has confirmed.
   void on_rows_stored(const std::vector<RowWrite>& writes, Time now);
   [[nodiscard]] bool has_writes(bool deferrable, Time now) const { return rows_.has_writes(deferrable, now); }
   [[nodiscard]] WriteQueue::Backlog backlog(WritePriority priority, Time now) const {
@@ -138,7 +146,7 @@
   void finish_load(Job& job, Time now);
   void register_dependencies(Job& job, Time now);
 
-  // Each is constructed from those above it.
+  // Construction order matters: each module holds references to those declared above it.
   Options options_;
   LeaderLog log_;
   ClusterState state_;
--- a/src/core/scheduler/shortage_prioritizer.cpp
+++ b/src/core/scheduler/shortage_prioritizer.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Times its last target's time after which a job that waits is deferred no more.
+// A job is not deferred after it has waited for this multiple of the time of its last target.
 constexpr double max_deferral_factor = 2;
-constexpr double min_work_s = 1e-9;  // keeps the worth of a job without work finite
+constexpr double min_work_s = 1e-9;  // avoids division by zero for a job without work
 
 load::Amount amount(const Resources& resources) {
   return {std::max(0.0, resources.cpus), std::max(0.0, resources.gpus), std::max(0.0, resources.memory_gb)};
 }
 
-// A limit of 0 binds nothing.
+// Returns `value`, clamped at 0, or infinity if `limit` is 0, which means no limit.
 double or_unlimited(double limit, double value) {
   if (limit > 0) return std::max(0.0, value);
   return std::numeric_limits<double>::infinity();
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-// The machines by kind, as one priority after another, from the highest, takes of them.
+// Machine capacity by kind. Priorities consume it one after another, from the highest to the lowest.
 class ShortagePrioritizer::CapacityByKind {
  public:
   void add(const MachineType& type, const Machine& machine) {
@@ -49,7 +49,7 @@
   [[nodiscard]] std::vector<char> allowed_for(const JobSpec& spec) const { return allowed_kinds(spec, kinds_); }
   [[nodiscard]] std::size_t kind_count() const { return kinds_.size(); }
 
-  // Lower priorities' work can be preempted, so it counts as free.
+  // Returns the pool of the allowed kinds. Work of lower priorities counts as free, because it can be preempted.
   [[nodiscard]] load::Pool pool(const std::vector<char>& allowed_kinds_mask, Priority priority) const {
     Resources total;
     Resources free;
@@ -62,7 +62,7 @@
     return {amount(free), amount(total)};
   }
 
-  // Lower priorities are left what this one neither uses nor waits for.
+  // Subtract what this priority uses or requests; lower priorities get the remainder.
   void subtract_used(Priority priority) {
     for (auto& capacity : capacity_) capacity.remaining.add(capacity.used.at(static_cast<std::size_t>(priority)), -1);
   }
@@ -86,8 +86,8 @@
 
  private:
   struct Capacity {
-    Resources remaining;            // by the priorities looked at so far
-    std::array<Resources, 4> used;  // by priority
+    Resources remaining;            // capacity not consumed by the priorities processed so far
+    std::array<Resources, 4> used;  // indexed by priority
   };
   std::vector<MachineKind> kinds_;
   std::vector<Capacity> capacity_;
@@ -126,8 +126,9 @@
     if (allowed_kinds_mask != all_kinds) pools.push_back(pool_index(allowed_kinds_mask));
     auto request = request_for(input, pending, now);
     request.pools.insert(request.pools.begin(), pools.begin(), pools.end());
-    // No more than its team's limit lets it start: arrays of thousands of tasks in teams of hundreds of CPUs would
-    // else leave the lower priorities nothing, and what these can do in time would be given up.
+    // Counts at most what the team's limit lets the job start. Otherwise arrays of thousands of tasks, in teams with
+    // limits of hundreds of CPUs, would leave no capacity to lower priorities, and work that these can finish in time
+    // would be deferred.
     const auto startable = std::min(pending.count, limits.max_additional_tasks(job.spec.team, job.spec.need));
     limits.add(job.spec.team, job.spec.need, startable);
     requested.emplace_back(allowed_kinds_mask, job.spec.need.times(startable));
@@ -138,7 +139,7 @@
   for (const auto& [allowed_kinds_mask, need] : requested) capacity.subtract_requested(allowed_kinds_mask, need);
 }
 
-// The request with its team's pool; those of the machines are added by the caller.
+// Returns the request with its team's pool; the caller adds the machine pools.
 load::WorkRequest ShortagePrioritizer::request_for(AdmissionInput& input, const PendingJob& pending, Time now) const {
   const auto& job = *pending.job;
   load::WorkRequest request;
@@ -156,8 +157,8 @@
 
 void ShortagePrioritizer::apply(const AdmissionInput& input, const std::vector<load::AdmissionResult>& results,
                                 Time now) const {
-  // What a job is worth against its work: of its targets, those that it can still meet. A job of which a few tasks are
-  // left goes before one that has hardly begun, even where it is a little late already.
+  // The value of a job is the number of targets that it can still meet, divided by its work. A job with few remaining
+  // tasks therefore precedes one that has hardly started, even if it is already slightly late.
   std::vector<std::pair<double, PendingJob*>> by_value;
   for (std::size_t i = 0; i < input.jobs.size(); ++i) {
     PendingJob& pending = *input.jobs[i];
@@ -165,8 +166,8 @@
     const auto& targets = input.requests[i].latest_start_s;
     const auto& result = results[i];
     const auto met = static_cast<double>(targets.size() - result.first_met_target);
-    // Where only a team's limit is short, its arrays without a deadline have targets to meet as well, and none of them
-    // can take a machine that others of higher priority then take back.
+    // If only a team's limit is short, arrays without a deadline are ordered by their targets as well: none of them can
+    // take a machine that work of higher priority then preempts.
     const bool by_targets = !result.machines_short && job.spec.kind == JobKind::array && !targets.empty();
     if (result.in_short_pool && met > 0 && (job.effective_deadline || by_targets)) {
       by_value.emplace_back(-met / std::max(result.work_s, min_work_s), &pending);
--- a/src/core/scheduler/shortage_prioritizer.hpp
+++ b/src/core/scheduler/shortage_prioritizer.hpp
@@ -1,5 +1,6 @@
-// A shortage: which pending jobs can still be in time (load/overload_admission), judged by the machines, the priorities
-// and the teams' limits; the others are marked, so that they leave the room to these.
+// Capacity shortages: determines which pending jobs can still meet their targets (load/overload_admission), given the
+// machines, priorities and team limits. The other jobs are marked as deferred, so that they leave the capacity to
+// these.
 #pragma once
 #include <map>
 #include <string>
@@ -17,16 +18,16 @@
   ShortagePrioritizer(const ClusterState& state, const SchedulerOptions& options, const ServiceTargets& targets)
       : state_(state), options_(options), targets_(targets) {}
 
-  // Sets `expected_missed_targets` of the jobs that are expected to miss targets which others of their priority can
-  // meet, and `shortage_order` of those that are served first.
+  // Sets `expected_missed_targets` for jobs that are expected to miss targets which other jobs of the same priority can
+  // meet, and `shortage_order` for the jobs that are served first.
   void prioritize(PlacementProblem& problem, Time now) const;
 
  private:
-  // What the admission is asked: one request for each job, and the pools of capacity that they draw on.
+  // Input of the admission planning: one request per job, and the capacity pools that the requests share.
   struct AdmissionInput {
     std::vector<load::Pool> pools;
     std::vector<load::WorkRequest> requests;
-    std::vector<PendingJob*> jobs;  // of the requests, in their order
+    std::vector<PendingJob*> jobs;  // jobs of the requests, in the same order
     std::map<std::string, std::size_t> team_pools;
     std::map<std::string, std::size_t> classes;
   };
--- a/src/core/scheduler/task_lifecycle.cpp
+++ b/src/core/scheduler/task_lifecycle.cpp
@@ -7,10 +7,11 @@
 namespace martenwall {
 
 namespace {
-// Ends of an array's tasks wait a moment for each other: only the last one is waited for by a user.
+// Delays the write of a task's end, so that ends of an array's tasks are written together. Users wait only for the last
+// one.
 constexpr Duration end_write_delay = seconds(1.2);
-constexpr Duration refused_start_backoff = seconds(2);  // until the machine, or the job, is tried again
-constexpr double unlimited_cache_gb = 1e9;              // of a machine whose type is not known
+constexpr Duration refused_start_backoff = seconds(2);  // delay before the machine or the job is tried again
+constexpr double unlimited_cache_gb = 1e9;              // cache size assumed for a machine of unknown type
 }  // namespace
 
 double checkpoint_grace_s(const Job* job) {
@@ -74,7 +75,7 @@
   machine.failing_jobs.clear();
   if (!is_final(job.phase)) estimator_.learn(job, placement, now);
   if (job.orphans.erase({index, machine.id}) == 0) job.placed.erase(index);
-  // Only a result must be stored before the worker may forget it.
+  // The worker may forget the task only after its result is stored; other ends need no such wait.
   placement.generation = rows_.mark_dirty(job, index, end_write_delay, now);
   if (job.spec.kind == JobKind::service && !is_final(job.phase)) job.requeued.insert(index);
   completion_.on_task_done(job, index, now);
@@ -110,8 +111,8 @@
   const bool is_known_task = job != nullptr && status.task.index < job->spec.tasks;
   if (status.state == TaskState::ended) {
     placement.cause = status.cause;
-    // A result is a result, whoever started it: an earlier leader may have recorded the end of
-    // the placement without the end of the task.
+    // A result counts regardless of which leader started the task: an earlier leader may have recorded the end of the
+    // placement but not the end of the task.
     if (status.cause == ExitCause::done && is_known_task) {
       placement.generation = rows_.mark_dirty(*job, status.task.index, end_write_delay, now);
       completion_.on_task_done(*job, status.task.index, now);
@@ -121,7 +122,7 @@
     placement.stop_requested = true;
     placement.stop_requested_at = now;
     if (is_known_task) {
-      // While it is there, the task may start nowhere else.
+      // The task must not start elsewhere while it is on this machine.
       job->record_placement(status.task.index, machine.id);
       rows_.mark_dirty(*job, status.task.index, Duration{0}, now);
     }
@@ -141,7 +142,7 @@
     job->total_run_s += to_seconds(now - placement.running_since);
 }
 
-// ---- off a machine ----
+// ---- release of placements ----
 
 void TaskLifecycle::release_placement(Machine& machine, Placement& placement, ReleaseReason reason, Time now) {
   log_.task_released(placement.task, machine, reason);
@@ -161,9 +162,9 @@
   if (job == nullptr) return;
   const auto index = placement.task.index;
   rows_.mark_dirty(*job, index, end_write_delay, now);
-  // A late heartbeat shows an earlier attempt beside the one that is there: that one goes on holding the task. It was
-  // freed with the other, and started on a second machine (`ran_twice` in the simulation, two changes of leader in a
-  // row).
+  // A late heartbeat can report an earlier attempt beside the current one on the same machine. The current attempt then
+  // keeps the task reserved; releasing the task with the earlier attempt started it on a second machine (`ran_twice` in
+  // the simulation, after two changes of leader in succession).
   const bool another_attempt = std::ranges::any_of(machine.placements, [&](const Placement& other) {
     return &other != &placement && other.occupies() && other.task == placement.task;
   });
@@ -171,7 +172,8 @@
   if (job->orphans.erase({index, machine.id}) > 0) return;
   const auto holder = job->placed.find(index);
   if (holder == job->placed.end() || holder->second != machine.id) return;
-  // Two machines can hold one task (an orphan of an earlier leader): it is free only when both are over.
+  // Two machines can hold the same task, if one has an orphan from an earlier leader. The task is free only when both
+  // placements are over.
   const auto other = job->orphans.lower_bound({index, MachineId{}});
   if (other != job->orphans.end() && other->first == index) {
     holder->second = other->second;
@@ -182,7 +184,8 @@
   if (!is_final(job->phase)) job->waiting_since = now;
 }
 
-// A worker gives a fetch up when no task waits for it any more.
+// Removes the image's fetch if no other placement on the machine needs the image: a worker aborts a fetch that no task
+// waits for.
 void TaskLifecycle::drop_unneeded_fetch(Machine& machine, const Job& job) {
   const bool still_needed = std::ranges::any_of(machine.placements, [&](const Placement& placement) {
     const Job* other = std::as_const(state_).find_job(placement.task.job);
@@ -207,14 +210,14 @@
   placement.stop_requested_at = now;
   state_.machines_to_command.insert(machine.id);
   log_.task_stopping(placement.task, machine, cause);
-  // Nothing was sent yet, so nothing can arrive.
+  // The start has not been sent and cannot take effect later.
   if (!placement.is_reported() && !placement.start_in_flight() && !placement.unconfirmed) {
     release_placement(machine, placement, ReleaseReason::not_started, now);
   }
 }
 
 void TaskLifecycle::stop_all_tasks(Job& job, double grace_s, StopCause cause, Time now) {
-  // A copy: what was not started yet is returned to pending at once.
+  // Iterates over a copy, because tasks that were not started return to pending immediately.
   for (const auto& [index, id] : std::map{job.placed}) {
     const auto it = state_.machines.find(id);
     if (it == state_.machines.end()) continue;
@@ -269,8 +272,8 @@
   }
 }
 
-// The root's end is stored, so that each of these may be stored in any order: a new leader that finds some of them
-// missing comes to the same conclusion from what they depend on.
+// The root's end is already stored, so the ends of the dependents may be stored in any order: a new leader that finds
+// some of them missing derives them again from the dependencies.
 void TaskLifecycle::cancel_dependents(const JobId& root, const std::set<JobId>& dependents, Time now) {
   std::set<JobId> cancelled;
   std::deque<JobId> queue{dependents.begin(), dependents.end()};
--- a/src/core/scheduler/task_lifecycle.hpp
+++ b/src/core/scheduler/task_lifecycle.hpp
@@ -1,5 +1,5 @@
-// What becomes of tasks on machines: their progress, ends and failures as workers report them, their placements' end,
-// and stops; and the end of a job that takes its tasks and dependents with it.
+// Task lifecycle on machines: progress, exits and failures reported by workers, release of placements, and stops; also
+// cancellation of a job together with its tasks and dependents.
 #pragma once
 #include "core/persistence/row_tracker.hpp"
 #include "core/scheduler/failure_tracker.hpp"
@@ -8,8 +8,8 @@
 
 namespace martenwall {
 
-// Seconds that a task of the job is given to write a checkpoint when it is stopped; 0 where it writes none. `job` may
-// be nullptr: not known any more.
+// Returns the time that a task of the job is given to write a checkpoint when it is stopped, in seconds; 0 if it writes
+// none. `job` is nullptr if the job is no longer known.
 [[nodiscard]] double checkpoint_grace_s(const Job* job);
 
 class TaskLifecycle {
@@ -24,31 +24,35 @@
         estimator_(estimator),
         log_(log) {}
 
-  // As reported by the machine's worker.
+  // Handle a task's state as reported by the machine's worker: a task that has not ended, and one that has.
   void on_progress(Machine& machine, Placement& placement, const TaskStatus& status, Time now);
   void on_exit(Machine& machine, Placement& placement, const TaskStatus& status, Time now);
-  // A task that this leader has no record of: it is stopped, and holds its task meanwhile.
+  // Handles a task of which this leader has no record: the task is stopped, and until it ends its index is not placed
+  // elsewhere.
   void on_orphan(Machine& machine, const TaskStatus& status, Time now);
-  // The cloud takes the machine back after `notice_s` seconds.
+  // Drains the machine, which the cloud reclaims after `notice_s` seconds.
   void on_preemption_notice(Machine& machine, double notice_s, Time now);
 
-  // The task is surely not on the machine (any more): it may start elsewhere. The placement is only marked as removed,
-  // so that loops over the machine's placements stay valid (ClusterState::erase_removed).
+  // Releases a placement whose task is known to be gone from the machine, so that the task may start elsewhere. The
+  // placement is only marked as removed, so that iteration over the machine's placements stays valid
+  // (ClusterState::erase_removed).
   void release_placement(Machine& machine, Placement& placement, ReleaseReason reason, Time now);
-  // Stops one task. A repeated call can only shorten the grace.
+  // Requests the stop of one task. A repeated call can only shorten the grace period.
   void request_stop(Machine& machine, Placement& placement, double grace_s, StopCause cause, Time now);
-  // Stops all tasks of the job that may be on a machine; an orphan among them is being stopped already.
+  // Requests the stop of all tasks of the job that may be on a machine. Orphans among them are already being stopped.
   void stop_all_tasks(Job& job, double grace_s, StopCause cause, Time now);
-  // The same, with time for checkpoints. A gang is stopped in order on all its machines, or its progress is lost.
+  // Requests the stop of all tasks of the job with time for checkpoints. A gang must be stopped this way on all its
+  // machines, or its progress is lost.
   void stop_gracefully(Job& job, StopCause cause, Time now);
-  // Stops what is left of a gang that lost a task.
+  // Requests the stop of the remaining tasks of a gang that lost a task, unless the job has ended.
   void stop_broken_gang(Job& job, Time now);
-  // Takes no new tasks to the machine and stops those that are there.
+  // Stops placing tasks on the machine and requests the stop of the tasks that occupy it.
   void drain(Machine& machine, DrainReason reason, Time now);
 
-  // The job's user cancelled it.
+  // Cancels the job at its user's request.
   void cancel(Job& job, Time now);
-  // The end of a job is known to be stored: its dependents are unblocked, or cancelled with it.
+  // Handles a job end that is known to be stored: unblocks the job's dependents, or cancels them if the job was
+  // cancelled.
   void on_job_ended(const JobId& id, JobPhase phase, Time now);
 
  private:
--- a/src/core/scheduler/worker_command_dispatcher.cpp
+++ b/src/core/scheduler/worker_command_dispatcher.cpp
@@ -6,12 +6,12 @@
 namespace martenwall {
 
 namespace {
-constexpr Duration start_latency = seconds(6);          // from a response with a start: its way, and the start itself
-constexpr std::size_t max_concurrent_probes = 8;        // at once, of machines whose downlink is in doubt
-constexpr std::size_t max_commands_per_response = 300;  // in one response: a line of it may have 64 KiB
-constexpr double stop_overdue_s = 4;  // beyond its grace, after which a stop is repeated without grace
-// Times the heartbeat interval after which a machine is too silent to be sent a command: it could be held in the
-// network and execute late.
+constexpr Duration start_latency = seconds(6);          // time from a response with a start until the start is complete
+constexpr std::size_t max_concurrent_probes = 8;        // machines with a doubtful downlink that are probed per call
+constexpr std::size_t max_commands_per_response = 300;  // limit per response: a line of a response may have 64 KiB
+constexpr double stop_overdue_s = 4;  // time beyond the grace period after which a stop is repeated without grace
+// Maximum age of a machine's last report for a direct command, in heartbeat intervals. A command to a machine that has
+// been silent for longer could be delayed in the network and execute late.
 constexpr double max_report_age_intervals = 1.5;
 }  // namespace
 
@@ -19,7 +19,7 @@
                                                            bool lease_valid) {
   std::vector<Command> out;
   for (auto& placement : machine.placements) {
-    // A response must stay short; what is beyond comes with the next one.
+    // The size of a response is limited; the remaining commands are sent in the next one.
     if (out.size() >= max_commands_per_response) break;
     if (!placement.removed) append_command(machine, placement, sequence, now, lease_valid, out);
   }
@@ -29,8 +29,8 @@
 void WorkerCommandDispatcher::append_command(Machine& machine, Placement& placement, HeartbeatSequence sequence,
                                              Time now, bool lease_valid, std::vector<Command>& out) {
   if (placement.state() == TaskState::ended) {
-    // While a direct start of it may still execute, the worker must go on knowing the attempt:
-    // after it forgot, a late start would run it again.
+    // While a direct start of the attempt may still execute, the worker must keep its record of the attempt. Without
+    // the record, a late start would run the task again.
     if (rows_.is_stored(placement) && lease_valid && !placement.direct_start_unanswered) {
       out.push_back({Command::Verb::forget, placement.task, placement.attempt, 0});
     }
@@ -51,13 +51,14 @@
 void WorkerCommandDispatcher::append_stop(const Machine& machine, Placement& placement, HeartbeatSequence sequence,
                                           Time now, std::vector<Command>& out) {
   const Duration elapsed = now - placement.stop_requested_at;
-  // Up to when it is surely carried out before a cancelled job's tasks have to be gone.
+  // A start sent before this time takes effect before a cancelled job's tasks must be gone.
   const bool before_cancel_deadline = elapsed < seconds(options_.timings.cancel_s) - start_latency;
   const bool may_start_late = !placement.is_reported() && placement.direct_start_unanswered;
   if (may_start_late && before_cancel_deadline && machine.phase() != MachinePhase::releasing) {
-    // Make the worker know the attempt, so that the late start has no effect; then end it. In grace too: a response
-    // that keeps the incarnation alive and does not do this would leave the way open to a start that the network holds
-    // for longer than cancel_s. What it starts is stored as being there, whoever leads.
+    // The start makes the worker record the attempt, so that the late start has no effect; the stop then ends it. This
+    // is done in a graceful stop as well: a response that keeps the incarnation alive without it would allow a start
+    // that the network delays for longer than `cancel_s`. A task started this way is stored as present on the machine,
+    // whichever node leads.
     out.push_back({Command::Verb::start, placement.task, placement.attempt, 0});
     placement.start_sequence = std::max(placement.start_sequence.value_or(sequence), sequence);
   }
--- a/src/core/scheduler/worker_command_dispatcher.hpp
+++ b/src/core/scheduler/worker_command_dispatcher.hpp
@@ -1,4 +1,4 @@
-// What workers are told to do: commands in the responses to their heartbeats, and batches sent straight to them.
+// Dispatches commands to workers: in the responses to their heartbeats, and in batches sent directly.
 #pragma once
 #include <vector>
 
@@ -12,14 +12,15 @@
                           TaskLifecycle& tasks)
       : state_(state), options_(options), rows_(rows), tasks_(tasks) {}
 
-  // For the response to the machine's heartbeat `sequence`. `lease_valid`: this leader's lease is, so that starts may
-  // go out. Commands are repeated in each response until a heartbeat shows their effect.
+  // Returns the commands for the response to the machine's heartbeat `sequence`. `lease_valid`: the leader's lease is
+  // valid, so that starts may be sent. Commands are repeated in each response until a heartbeat shows their effect.
   std::vector<Command> commands_for(Machine& machine, HeartbeatSequence sequence, Time now, bool lease_valid);
-  // Commands to be sent at once, without waiting for the next heartbeat; each once.
+  // Returns the commands to be sent at once, without waiting for the next heartbeat. Each one is returned once.
   std::vector<CommandBatch> take_batches(Time now);
+  // Handles the outcome of a batch that was sent directly.
   void on_outcome(const CommandBatch& batch, CommandOutcome outcome, Time now);
-  // Empty batches for the machines that have not reported to this leader yet, so that they learn of it; busy ones
-  // first.
+  // Returns empty batches for the machines that have not reported to this leader, which announce the leader to them.
+  // Busy machines come first.
   [[nodiscard]] std::vector<CommandBatch> announcements() const;
 
  private:
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -1,4 +1,4 @@
-// Small types of their own for ids, versions and times.
+// Distinct types for ids, versions and times.
 #pragma once
 #include <chrono>
 #include <compare>
@@ -9,7 +9,7 @@
 
 namespace martenwall {
 
-// A value of its own type, so that an id is not taken for another.
+// Wraps a value in a type of its own, so that ids of different kinds cannot be mixed up.
 template <class Tag, class Rep>
 class StrongType {
  public:
@@ -32,9 +32,9 @@
 using Generation = StrongType<struct GenerationTag, std::uint64_t>;
 using JobId = StrongType<struct JobTag, std::string>;
 using MachineId = StrongType<struct MachineTag, std::string>;
-using ImageId = StrongType<struct ImageTag, std::uint32_t>;  // an image's number in this process
+using ImageId = StrongType<struct ImageTag, std::uint32_t>;  // index of an image name; valid in this process only
 
-// Time as the core sees it: handed in by the shell, never read.
+// The core's clock: time points are passed in by the caller; the core never reads a clock.
 struct CoreClock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
@@ -48,7 +48,7 @@
 constexpr Duration seconds(double s) { return Duration{static_cast<Duration::rep>(s * 1e6)}; }
 constexpr double to_seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
-// A task of a job.
+// Identifies a task by its job and its index in the job.
 struct TaskId {
   JobId job;
   std::uint32_t index = 0;
--- a/src/load/overload_admission.cpp
+++ b/src/load/overload_admission.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t resource_kinds = std::tuple_size_v<Amount>;
 
-// One pass of Moore's algorithm over all pools. What an earlier pass took stays taken.
+// Runs passes of Moore's algorithm over all pools. What an earlier pass admitted stays admitted.
 class AdmissionPass {
  public:
   AdmissionPass(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests, double efficiency)
@@ -39,22 +39,22 @@
     auto operator<=>(const Candidate&) const = default;
   };
 
-  // Of the candidates those are kept that can start in time beside all that was kept before, which stays.
+  // Admits the candidates that can start in time in addition to all requests admitted by earlier passes.
   void pass(std::vector<Candidate> candidates) {
-    for (auto& b : accounts_) {
-      b.classes.clear();
-      b.work = {};
+    for (auto& account : accounts_) {
+      account.classes.clear();
+      account.work = {};
     }
     std::vector<char> previously_admitted = admitted_;
     for (std::size_t i = 0; i < admitted_.size(); ++i) {
       if (admitted_[i] != 0) candidates.push_back({admitted_latest_start_s_[i], i});
     }
     std::ranges::sort(candidates);
-    for (const auto& c : candidates) {
-      set_admitted(c.request, 1);
-      admitted_latest_start_s_[c.request] = c.latest_s;
-      if (previously_admitted[c.request] == 0) enqueue(c.request);
-      for (const auto pool : requests_[c.request].pools) evict_until_fit(pool, c.latest_s);
+    for (const auto& candidate : candidates) {
+      set_admitted(candidate.request, 1);
+      admitted_latest_start_s_[candidate.request] = candidate.latest_s;
+      if (previously_admitted[candidate.request] == 0) enqueue(candidate.request);
+      for (const auto pool : requests_[candidate.request].pools) evict_until_fit(pool, candidate.latest_s);
     }
   }
   [[nodiscard]] bool is_admitted(std::size_t i) const { return admitted_[i] != 0; }
@@ -63,17 +63,17 @@
 
  private:
   struct ClassQueue {
-    std::priority_queue<std::pair<double, std::size_t>> by_work;  // with claims that were given up meanwhile
-    std::size_t admitted = 0, all = 0;
-    [[nodiscard]] double share() const { return static_cast<double>(admitted) / static_cast<double>(all); }
+    std::priority_queue<std::pair<double, std::size_t>> by_work;  // may contain requests that were evicted since
+    std::size_t admitted = 0, total = 0;
+    [[nodiscard]] double share() const { return static_cast<double>(admitted) / static_cast<double>(total); }
   };
   struct PoolAccount {
-    Amount work{};  // need times seconds, of those kept
+    Amount work{};  // need times run time of the admitted requests
     std::map<std::size_t, ClassQueue> classes;
     bool had_shortage = false;
   };
 
-  // The largest part that it takes of any pool's room: its dominant share.
+  // Returns the request's dominant share: its largest share of any pool's capacity.
   [[nodiscard]] double size_of(std::size_t i) const {
     double out = 0;
     for (const auto pool : requests_[i].pools) {
@@ -84,13 +84,13 @@
     return out;
   }
 
-  // From now on it may be given up for others of its pools.
+  // Makes the request a candidate for eviction in all its pools.
   void enqueue(std::size_t i) {
     for (const auto pool : requests_[i].pools) {
       auto& job_class = accounts_[pool].classes[requests_[i].job_class];
       job_class.by_work.emplace(work_s(i), i);
       ++job_class.admitted;
-      ++job_class.all;
+      ++job_class.total;
     }
   }
 
@@ -103,7 +103,8 @@
     }
   }
 
-  // What is free takes work at once; the rest comes as running work ends, as much a second as there is room.
+  // Returns whether the admitted work can start by `latest_s`. Free capacity takes work at once; the rest becomes
+  // available as running work ends, at a rate proportional to the capacity.
   [[nodiscard]] bool fits(std::size_t pool, double latest_s) const {
     const auto& p = pools_[pool];
     for (std::size_t k = 0; k < resource_kinds; ++k) {
@@ -121,7 +122,8 @@
     }
   }
 
-  // The largest of the class of which most is kept: no class carries the shortage alone.
+  // Evicts the largest request of the class with the highest admitted share, so that no class bears the shortage alone.
+  // Returns false if there is none.
   bool evict_one(std::size_t pool) {
     ClassQueue* best = nullptr;
     for (auto& [id, job_class] : accounts_[pool].classes) {
@@ -142,12 +144,12 @@
   std::vector<PoolAccount> accounts_;
   std::vector<double> sizes_;
   std::vector<char> admitted_;
-  std::vector<double> admitted_latest_start_s_;  // the latest start for which each was kept
+  std::vector<double> admitted_latest_start_s_;  // latest start for which each was admitted
 };
 
 std::vector<AdmissionResult> find_short_pools(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests,
                                               double efficiency) {
-  AdmissionPass all{pools, requests, efficiency};
+  AdmissionPass pass{pools, requests, efficiency};
   std::vector<AdmissionPass::Candidate> candidates;
   std::vector<AdmissionResult> out(requests.size());
   for (std::size_t i = 0; i < requests.size(); ++i) {
@@ -155,12 +157,12 @@
     const auto next = std::ranges::find_if(times, [](double s) { return s >= 0; });
     if (next != times.end()) candidates.push_back({*next, i});
   }
-  all.pass(std::move(candidates));
+  pass.pass(std::move(candidates));
   for (std::size_t i = 0; i < requests.size(); ++i) {
-    out[i].work_s = all.work_s(i);
+    out[i].work_s = pass.work_s(i);
     for (const auto p : requests[i].pools) {
-      out[i].in_short_pool = out[i].in_short_pool || all.had_shortage(p);
-      out[i].machines_short = out[i].machines_short || (all.had_shortage(p) && !pools[p].is_team_limit);
+      out[i].in_short_pool = out[i].in_short_pool || pass.had_shortage(p);
+      out[i].machines_short = out[i].machines_short || (pass.had_shortage(p) && !pools[p].is_team_limit);
     }
   }
   return out;
--- a/src/load/overload_admission.hpp
+++ b/src/load/overload_admission.hpp
@@ -1,10 +1,11 @@
-// Which pending jobs can still be served in time when more is wanted than the machines can do, and which wait.
+// Selects the pending jobs that can be served in time under overload, and those that wait.
 //
-// Where all can be in time nothing is decided here. Where not, serving each when it is almost too late makes all of
-// them a little late (the domino effect of earliest-deadline-first). Moore's algorithm (J. M. Moore, "An n job, one
-// machine sequencing algorithm for minimizing the number of late jobs", Management Science 15, 1968) keeps as many in
-// time as can be: in the order of their latest starts, and where one does not fit any more, the largest so far is given
-// up. Here the machines are several pools of room that is freed at a steady rate, and classes share what is given up.
+// If all jobs can be in time, nothing is decided here. Otherwise, serving each job shortly before its deadline would
+// make all of them slightly late (the domino effect of earliest-deadline-first). Moore's algorithm (J. M. Moore, "An n
+// job, one machine sequencing algorithm for minimizing the number of late jobs", Management Science 15, 1968) keeps as
+// many jobs in time as possible: it goes through them in the order of their latest starts, and whenever one no longer
+// fits, it drops the largest job so far. Here the machines form several pools of capacity that is freed at a steady
+// rate, and the classes share the dropped work.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -12,36 +13,38 @@
 
 namespace martenwall::load {
 
-// CPUs, GPUs and GB, or these times seconds.
+// CPUs, GPUs and GB, or these amounts times seconds.
 using Amount = std::array<double, 3>;
 
-// Room that some claims draw on together: all machines, those of some kinds, or what a team's limit leaves.
+// Capacity that some requests share: all machines, the machines of some kinds, or what a team's limit leaves.
 struct Pool {
-  Amount free{};               // can be taken now
-  Amount capacity{};           // in all, in use by the same claims' jobs or free; what does not bound them is infinite
-  bool is_team_limit = false;  // of a team, not machines
+  Amount free{};               // free now
+  Amount capacity{};           // total, free or in use by jobs of the same requests; infinite if it does not bound them
+  bool is_team_limit = false;  // the pool is a team's limit, not machines
 };
 
-// What is pending of one job.
+// The pending tasks of one job.
 struct WorkRequest {
-  std::size_t job_class = 0;           // its class, a small number
-  std::vector<std::size_t> pools;      // on which it draws, each once
-  Amount need{};                       // all its pending tasks at once
-  double run_s = 0;                    // of each of them
-  std::vector<double> latest_start_s;  // from now, one for each time that it should meet, tightest first; may be past
+  std::size_t job_class = 0;       // index of the job's class
+  std::vector<std::size_t> pools;  // pools that it uses, without duplicates
+  Amount need{};                   // of all its pending tasks together
+  double run_s = 0;                // run time of each task
+  std::vector<double>
+      latest_start_s;  // latest start for each of its targets, in seconds from now, tightest first; may be negative
 };
 
+// Outcome for one request.
 struct AdmissionResult {
-  // The first of its times that it is expected to meet, from 0; the number of its times where it meets none. Always 0
-  // where nothing that it draws on is short, and for claims that have no times to meet.
+  // Index of the first target that the job is expected to meet; the number of its targets if it meets none. Always 0 if
+  // none of its pools is short, and for requests without targets.
   std::size_t first_met_target = 0;
   bool in_short_pool = false;
-  bool machines_short = false;  // one of these is not a team's limit
-  double work_s = 0;            // its largest part of any pool's room, times its run time
+  bool machines_short = false;  // one of its short pools is not a team's limit
+  double work_s = 0;            // its largest share of any pool's capacity, times its run time
 };
 
-// One verdict a claim, in their order. `efficiency`: the part of freed room that becomes running work, 0 to 1; the rest
-// goes to fetches, losses and stops. Costs n log n for n claims and a few pools.
+// Returns one result per request, in their order. `efficiency`: the fraction of freed capacity that becomes running
+// work, 0 to 1; the rest is lost to fetches, failures and stops. Takes O(n log n) for n requests and a few pools.
 std::vector<AdmissionResult> plan_admission(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests,
                                             double efficiency);
 
--- a/src/load/service_record.cpp
+++ b/src/load/service_record.cpp
@@ -8,37 +8,37 @@
 
 ServiceCounts& ServiceRecord::counts_for(const std::string& job_class, const std::string& team) {
   ClassAndTeam key{job_class, team};
-  if (!pairs_.contains(key) && pairs_.size() >= max_pairs) key = {"other", "other"};
-  auto& s = pairs_[key];
-  s.job_class = key.first;
-  s.team = key.second;
-  return s;
+  if (!counts_.contains(key) && counts_.size() >= max_pairs) key = {"other", "other"};
+  auto& counts = counts_[key];
+  counts.job_class = key.first;
+  counts.team = key.second;
+  return counts;
 }
 
 void ServiceRecord::started(const std::string& job_class, const std::string& team, double wait_s) {
-  auto& s = counts_for(job_class, team);
-  ++s.started;
-  s.wait_s += wait_s;
+  auto& counts = counts_for(job_class, team);
+  ++counts.started;
+  counts.wait_s += wait_s;
 }
 
 void ServiceRecord::done(const std::string& job_class, const std::string& team, bool in_time) {
-  auto& s = counts_for(job_class, team);
-  ++s.done;
-  if (in_time) ++s.in_time;
+  auto& counts = counts_for(job_class, team);
+  ++counts.done;
+  if (in_time) ++counts.in_time;
 }
 
 std::vector<ServiceCounts> ServiceRecord::all() const {
   std::vector<ServiceCounts> out;
-  out.reserve(pairs_.size());
-  for (const auto& [key, s] : pairs_) out.push_back(s);
+  out.reserve(counts_.size());
+  for (const auto& [key, counts] : counts_) out.push_back(counts);
   return out;
 }
 
 std::string ServiceRecord::minute_line(std::size_t max_entries) {
   std::vector<ServiceCounts> minute;
-  for (const auto& [key, s] : pairs_) {
+  for (const auto& [key, counts] : counts_) {
     const auto& before = last_reported_[key];
-    ServiceCounts delta = s;
+    ServiceCounts delta = counts;
     delta.submitted -= before.submitted;
     delta.started -= before.started;
     delta.done -= before.done;
@@ -47,7 +47,7 @@
     delta.wait_s -= before.wait_s;
     if (delta.submitted + delta.started + delta.done + delta.late > 0) minute.push_back(std::move(delta));
   }
-  last_reported_ = pairs_;
+  last_reported_ = counts_;
   std::ranges::stable_sort(minute, {}, &ServiceCounts::share);
   std::ostringstream out;
   out << std::fixed;
--- a/src/load/service_record.hpp
+++ b/src/load/service_record.hpp
@@ -1,5 +1,5 @@
-// Who is served: counts for each class of jobs and team within it, since this leader took over. So that an operator
-// sees who is not served while it happens, and not from the users' complaints.
+// Counts of the service that each job class and team received since this leader took over. Operators can see from them
+// which users are not being served while it happens, before the users report it.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,44 +10,48 @@
 
 namespace martenwall::load {
 
+// Counts of one class and team.
 struct ServiceCounts {
   std::string job_class, team;
-  std::uint64_t submitted = 0;  // taken by this leader, loaded ones included
-  std::uint64_t started = 0;    // all of its tasks were placed
+  std::uint64_t submitted = 0;  // accepted by this leader, including jobs loaded from the store
+  std::uint64_t started = 0;    // jobs whose tasks were all placed
   std::uint64_t done = 0;
-  std::uint64_t in_time = 0;  // of these, by the longest time that is asked for its class; all where none is
+  std::uint64_t in_time = 0;  // of these, within the longest target of the class; all if it has none
   std::uint64_t cancelled = 0;
-  double wait_s = 0;  // sum over those started, from their release on
-  // Of those whose last time has come, or that were done before: the part done in time, 0 to 1; 1 before there are any.
+  double wait_s = 0;  // sum over the started jobs, counted from when each was ready
+  // Returns the share of jobs done in time, 0 to 1, among those done and those whose last target has passed; 1 if there
+  // are none.
   [[nodiscard]] double share() const {
     const auto judged = in_time + late;
     return judged == 0 ? 1 : static_cast<double>(in_time) / static_cast<double>(judged);
   }
-  std::uint64_t late = 0;  // done after it, or not done when it came
+  std::uint64_t late = 0;  // done after the last target, or not done when it passed
 };
 
+// Service counts by job class and team.
 class ServiceRecord {
  public:
-  // Beyond this many pairs of class and team all further ones are counted together, as "other": names come from users,
-  // and metrics and memory must not grow with them.
+  // Maximum number of class and team pairs; all further pairs are counted together as "other". Users choose the names,
+  // and metrics and memory must not grow with their number.
   static constexpr std::size_t max_pairs = 60;
 
   void submitted(const std::string& job_class, const std::string& team) { ++counts_for(job_class, team).submitted; }
   void started(const std::string& job_class, const std::string& team, double wait_s);
   void done(const std::string& job_class, const std::string& team, bool in_time);
   void cancelled(const std::string& job_class, const std::string& team) { ++counts_for(job_class, team).cancelled; }
-  // Its last time passed before it was done: told once, and `done` after that counts no second time.
+  // Records that a job's last target passed before it was done. Called once per job; a later `done` does not count it
+  // again.
   void missed(const std::string& job_class, const std::string& team) { ++counts_for(job_class, team).late; }
 
-  [[nodiscard]] std::vector<ServiceCounts> all() const;  // by class, then team
-  // "squat-scan/mirror-ops 62 taken, 50 started after 12 s, 41 done, 0.83 in time; ...", those least served first, at
-  // most `most` of them; what happened since the line before.
+  [[nodiscard]] std::vector<ServiceCounts> all() const;  // ordered by class, then team
+  // Returns the changes since the previous line: "render/blue 62 taken, 50 started after 12 s, 41 done, 0.83 in time;
+  // ...", least served first, at most `max_entries` entries.
   std::string minute_line(std::size_t max_entries);
 
  private:
   using ClassAndTeam = std::pair<std::string, std::string>;
   ServiceCounts& counts_for(const std::string& job_class, const std::string& team);
-  std::map<ClassAndTeam, ServiceCounts> pairs_, last_reported_;
+  std::map<ClassAndTeam, ServiceCounts> counts_, last_reported_;
 };
 
 }  // namespace martenwall::load
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,7 +15,7 @@
 
 std::shared_ptr<spdlog::logger> make_log() {
   auto log = std::make_shared<spdlog::logger>("martenwall", std::make_shared<spdlog::sinks::stderr_sink_st>());
-  const char* level = std::getenv("LOG_LEVEL");  // NOLINT(concurrency-mt-unsafe): before any thread
+  const char* level = std::getenv("LOG_LEVEL");  // NOLINT(concurrency-mt-unsafe): no threads yet
   log->set_level(spdlog::level::from_str(level != nullptr ? level : "info"));
   log->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   log->flush_on(spdlog::level::info);
@@ -24,24 +24,27 @@
 
 void add_config_command(CLI::App& app, martenwall::service::ConfigurationCommand& command) {
   using Action = martenwall::wire::ConfigurationRequest::Action;
-  auto* config = app.add_subcommand("config", "the configuration that changes while the service runs");
+  auto* config = app.add_subcommand("config", "show or change the configuration of the running service");
   config->require_subcommand(1);
   const auto add_action = [&](const char* name, const char* help, Action action) {
     auto* sub = config->add_subcommand(name, help);
-    sub->add_option("--node", command.node, "address of any node for other controllers (cluster_listen)")->required();
+    sub->add_option("--node", command.node, "address on which any node listens for other controllers (cluster_listen)")
+        ->required();
     sub->callback([&command, action] { command.request.action = action; });
     return sub;
   };
-  add_action("get", "the version, the document and the teams in force at the node", Action::get);
-  add_action("history", "the latest changes, the newest first", Action::history);
+  add_action("get", "show the active version, document and teams of the node", Action::get);
+  add_action("history", "show the latest changes, newest first", Action::history);
   auto* apply = add_action("apply", "apply a change", Action::apply);
-  apply->add_option("file", command.file, "JSON merge patch of the document")->required();
-  apply->add_option("--by", command.request.author, "who changes it, for the history");
-  apply->add_flag("--dry-run", command.request.dry_run, "check it and tell what it would change");
+  apply->add_option("file", command.file, "JSON merge patch for the document")->required();
+  apply->add_option("--by", command.request.author, "author of the change, for the history");
+  apply->add_flag("--dry-run", command.request.dry_run, "validate the change and show its effect without applying it");
   apply->add_option_function<std::uint64_t>(
       "--expect",
-      [&command](const std::uint64_t& v) { command.request.expected = martenwall::ConfigurationVersion{v}; },
-      "apply it only where this is the version");
+      [&command](const std::uint64_t& version) {
+        command.request.expected = martenwall::ConfigurationVersion{version};
+      },
+      "apply the change only if this is the current version");
 }
 
 int run_node(const std::string& config_path, const std::string& properties_path, bool check_only) {
@@ -69,8 +72,8 @@
   bool check_only = false;
   martenwall::service::ConfigurationCommand command;
   app.add_option("--config", config_path, "settings file of the platform (JSON)");
-  app.add_option("--properties", properties_path, "operators' own settings (Java-style properties)");
-  app.add_flag("--check", check_only, "check the settings and exit");
+  app.add_option("--properties", properties_path, "properties file of the operators (Java-style)");
+  app.add_flag("--check", check_only, "validate the settings and exit");
   app.footer(martenwall::heuristics_help());
   app.require_subcommand(0, 1);
   add_config_command(app, command);
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Seconds: from a scheduling cycle of a small fleet to what makes workers give up.
+// Seconds: from a scheduling cycle of a small fleet to a delay at which workers time out.
 prometheus::Histogram::BucketBoundaries bucket_bounds() {
   return {0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5};
 }
@@ -52,47 +52,49 @@
 
 Metrics::Metrics()
     : registry_(std::make_shared<prometheus::Registry>()),
-      cycles(histogram(*registry_, "martenwall_round_seconds", "Time of a scheduling round.")),
+      cycles(histogram(*registry_, "martenwall_round_seconds", "Duration of a scheduling cycle.")),
       store_writes(histogram(*registry_, "martenwall_store_write_seconds",
-                             "From a transaction's turn to its answer, tries that failed included.")),
-      heartbeats(
-          histogram(*registry_, "martenwall_report_seconds", "From a worker's report to its answer at this node.")),
+                             "Time from a transaction's turn to its answer, including failed attempts.")),
+      heartbeats(histogram(*registry_, "martenwall_report_seconds",
+                           "Time from a worker's heartbeat to its answer at this node.")),
       takeovers_(prometheus::BuildCounter()
                      .Name("martenwall_takeovers_total")
-                     .Help("Times that this node began to lead.")
+                     .Help("Number of times that this node became the leader.")
                      .Register(*registry_)
                      .Add({})),
       served_jobs_(prometheus::BuildGauge()
                        .Name("martenwall_served_jobs")
-                       .Help("Jobs by class, team and what became of them, since this leader took over.")
+                       .Help("Jobs by class, team and outcome, since this leader took over.")
                        .Register(*registry_)),
       served_share_(prometheus::BuildGauge()
                         .Name("martenwall_served_share")
-                        .Help("Of the jobs whose last time has come or that are done: the part in time, 0 to 1.")
+                        .Help("Fraction of the jobs done or past their last target that were done in time, 0 to 1.")
                         .Register(*registry_)),
       served_wait_(prometheus::BuildGauge()
                        .Name("martenwall_served_wait_seconds")
-                       .Help("Mean time from a job's release until all its tasks had a place.")
+                       .Help("Mean time from a job's release until all its tasks were placed.")
                        .Register(*registry_)),
-      leads_(gauge("martenwall_leads", "1 while this node leads.")),
+      leads_(gauge("martenwall_leads", "1 while this node leads, otherwise 0.")),
       connections_(gauge("martenwall_connections", "Open connections of users and workers.")),
-      worker_connections_(gauge("martenwall_worker_connections", "Of these, workers'.")),
-      worker_capacity_(gauge("martenwall_worker_room", "Workers' connections that this node would hold.")),
-      machines_(gauge("martenwall_machines", "Machines that the leader knows.")),
-      jobs_(gauge("martenwall_jobs", "Jobs that the leader knows and that are not over.")),
-      memory_(gauge("process_resident_memory_bytes", "Memory that this process holds.")),
-      state_requests_used_(
-          gauge("martenwall_state_rate_used", "Part of this node's share of the state service's rate, 0 to 1.")),
-      configuration_(gauge("martenwall_configuration_version", "Version of the configuration in force here.")) {
+      worker_connections_(gauge("martenwall_worker_connections", "Open connections of workers.")),
+      worker_capacity_(gauge("martenwall_worker_room", "Maximum number of worker connections at this node.")),
+      machines_(gauge("martenwall_machines", "Machines known to the leader.")),
+      jobs_(gauge("martenwall_jobs", "Unfinished jobs known to the leader.")),
+      memory_(gauge("process_resident_memory_bytes", "Resident memory of this process.")),
+      state_requests_used_(gauge("martenwall_state_rate_used",
+                                 "Used fraction of this node's share of the state service's rate limit, 0 to 1.")),
+      configuration_(gauge("martenwall_configuration_version", "Version of the configuration in force at this node.")) {
   auto& family = prometheus::BuildCounter()
                      .Name("martenwall_reports_total")
-                     .Help("Workers' reports: answered here, passed on, taken from other nodes, sent on, refused.")
+                     .Help(
+                         "Workers' heartbeats: answered here, relayed to the leader, received from other nodes, "
+                         "redirected, refused.")
                      .Register(*registry_);
   for (std::size_t i = 0; i < heartbeat_path_count; ++i)
     heartbeats_by_path_.at(i) = &family.Add({{"way", path_names.at(i)}});
   auto& lookups = prometheus::BuildCounter()
                       .Name("martenwall_lookups_total")
-                      .Help("Jobs looked up, by what they were looked up for and what answered.")
+                      .Help("Job lookups by purpose and answering source.")
                       .Register(*registry_);
   for (std::size_t purpose = 0; purpose < lookup_purpose_count; ++purpose) {
     for (std::size_t source = 0; source < lookup_source_count; ++source) {
@@ -102,8 +104,9 @@
   }
   for (std::size_t i = 0; i < priority_names.size(); ++i) {
     const prometheus::Labels labels{{"urgency", priority_names.at(i)}};
-    queue_rows_.at(i) = &gauge("martenwall_store_queue_rows", "Rows whose time to be written has come.", labels);
-    queue_oldest_.at(i) = &gauge("martenwall_store_queue_oldest_seconds", "For how long the first has waited.", labels);
+    queue_rows_.at(i) = &gauge("martenwall_store_queue_rows", "Rows that are due to be written.", labels);
+    queue_oldest_.at(i) =
+        &gauge("martenwall_store_queue_oldest_seconds", "Waiting time of the oldest due row.", labels);
   }
 }
 
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -1,4 +1,4 @@
-// What a node measures of itself: Prometheus metrics, and one line a minute for those who read logs.
+// A node's metrics: Prometheus metrics, and a summary line per minute for the log.
 #pragma once
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -15,19 +15,19 @@
 
 namespace martenwall::metrics {
 
-// A time that is measured again and again: a histogram since the start, and mean and longest of the last minute.
+// Repeated measurements of a duration: a histogram since the start, and the mean and maximum of the last interval.
 class Timing {
  public:
-  // The histogram stays its owner's and must outlive this.
+  // The owner's histogram must outlive this object.
   explicit Timing(prometheus::Histogram& histogram) : histogram_(histogram) {}
-  // One measured time.
+  // Adds one measurement.
   void observe(Duration measured);
-  // What was observed since the call before.
+  // The measurements since the previous call of `consume_interval`.
   struct Interval {
     std::size_t count = 0;
     double mean_ms = 0, max_ms = 0;
   };
-  // Begins the next interval.
+  // Returns the current interval and begins the next one.
   Interval consume_interval();
 
  private:
@@ -36,74 +36,74 @@
   Duration sum_{0}, max_{0};
 };
 
-// What became of a worker's heartbeat at this node.
+// How a worker's heartbeat was handled at this node.
 enum class HeartbeatPath {
   local,       // this node leads and answered it
-  relayed,     // the leader answered it through this node
-  from_peers,  // another node forwarded it to this one, which leads
-  redirected,  // the worker was sent to another node for the sake of balance
-  refused,     // 421 or 503
+  relayed,     // this node forwarded it to the leader, which answered
+  from_peers,  // another node forwarded it to this node, the leader
+  redirected,  // the worker was redirected to another node for load balancing
+  refused,     // answered with 421 or 503
 };
 constexpr std::size_t heartbeat_path_count = 5;
 
-// For what a job was looked up beyond this node's memory and the leader's word.
+// Why a job was looked up.
 enum class LookupPurpose { status_query, dependency_check };
 constexpr std::size_t lookup_purpose_count = 2;
 
-// What a lookup was answered from.
+// What answered a lookup.
 enum class LookupSource {
-  memory,           // what this node knows: ends, and jobs of the scheduler while its lease is valid
+  memory,           // this node's knowledge: ended jobs, and the scheduler's jobs while its lease is valid
   leader,           // the leader's reply over its peer link
-  compared_active,  // a comparison of keys: the job's own key is there
-  compared_final,   // a comparison of keys, then one read of the job's end
-  single_reads,     // its rows, each read by itself
-  unanswered,       // nothing: the user has to ask again
+  compared_active,  // a comparison of keys: the job's active key exists
+  compared_final,   // a comparison of keys, then one read of the job's final state
+  single_reads,     // the job's rows, each read separately
+  unanswered,       // no answer: the user has to retry
 };
 constexpr std::size_t lookup_source_count = 6;
 
-// The present state of a node; MetricsService fills it in.
+// The current state of a node; filled in by MetricsService.
 struct Gauges {
   bool leads = false;
   std::size_t connections = 0, worker_connections = 0, worker_capacity = 0;
   std::size_t machines = 0, jobs = 0;
-  std::uint64_t configuration = 0;  // the version in force here
+  std::uint64_t configuration = 0;  // the version in force at this node
   // Rows that wait to be written to the store.
   struct Queue {
     std::size_t rows = 0;
-    double oldest_s = 0;  // how long the first has waited
+    double oldest_s = 0;  // waiting time of the oldest row
   };
   std::array<Queue, 3> store_queues{};  // by WritePriority: foreground, best effort, deferrable
-  double state_requests_used = 0;       // part of this node's share of the state service's rate, 0 to 1
+  double state_requests_used = 0;       // fraction of this node's share of the state service's rate limit, 0 to 1
 };
 
-// The source's name, as the metric's label and log events have it.
+// The source's name in metric labels and log events.
 const char* name_of(LookupSource source);
 
-// All metrics of a node, by their exported names. Not thread-safe: it belongs to the loop's thread.
+// All metrics of a node, by their exported names. Not thread-safe: used on the event loop's thread only.
 class Metrics {
-  std::shared_ptr<prometheus::Registry> registry_;  // before all that is registered with it
+  std::shared_ptr<prometheus::Registry> registry_;  // declared before everything that is registered with it
 
  public:
-  // Registers all of them.
+  // Registers all metrics.
   Metrics();
 
-  // Scheduling cycles, transactions of the leader, and heartbeats from their arrival to their answer.
+  // Times of scheduling cycles, of the leader's transactions, and of heartbeats from arrival to answer.
   Timing cycles, store_writes, heartbeats;
 
-  // Heartbeats that went this way.
+  // Counts heartbeats handled this way.
   void count_heartbeat(HeartbeatPath path, std::size_t n = 1);
-  // One job that was looked up.
+  // Counts one looked-up job.
   void count_lookup(LookupPurpose purpose, LookupSource source);
-  // A failover: this node began to lead.
+  // Counts a failover in which this node became the leader.
   void count_takeover() { takeovers_.Increment(); }
 
-  // Before each exposition.
+  // Sets the gauges; called before each exposition.
   void set(const Gauges& gauges);
-  // Who is served, by class and team, as the leader counts it since it took over.
+  // Sets the served jobs by class and team, as counted by the leader since it took over.
   void set(const std::vector<load::ServiceCounts>& served);
-  // The text that Prometheus scrapes (exposition format 0.0.4).
+  // Returns the text that Prometheus scrapes (exposition format 0.0.4).
   [[nodiscard]] std::string exposition() const;
-  // "rounds 42, 3.1 ms, longest 8.2 ms; ...": what happened since the line before.
+  // Returns a summary of the time since the previous line: "rounds 42 of 3.1 ms, longest 8.2 ms; ...".
   std::string minute_line(const Gauges& gauges);
 
  private:
@@ -118,7 +118,7 @@
   std::array<prometheus::Gauge*, 3> queue_rows_{}, queue_oldest_{};
 };
 
-// Bytes that this process holds in memory; 0 where that cannot be told.
+// Returns the resident memory of this process; 0 if it cannot be determined.
 std::size_t resident_bytes();
 
 }  // namespace martenwall::metrics
--- a/src/relay/leader_link.cpp
+++ b/src/relay/leader_link.cpp
@@ -5,9 +5,9 @@
 namespace martenwall::relay {
 
 namespace {
-constexpr Duration election_time = seconds(0.7);        // from a lease's expiry until another node leads, mostly 0.2 s
-constexpr Duration probe_interval = seconds(0.2);       // while heartbeats wait for the answer
-constexpr Duration idle_probe_interval = seconds(1.0);  // while workers go to the leader themselves
+constexpr Duration election_time = seconds(0.7);   // from a lease's expiry until another node leads; typically 0.2 s
+constexpr Duration probe_interval = seconds(0.2);  // while heartbeats wait for the answer
+constexpr Duration idle_probe_interval = seconds(1.0);  // while workers are redirected to the leader
 }  // namespace
 
 std::string_view name_of(LinkState state) {
@@ -48,7 +48,7 @@
     case ProbeResult::unsupported:
       transition_to(LinkState::redirecting, now);
       return;
-    case ProbeResult::follower:  // what this node knows of the leadership is outdated
+    case ProbeResult::follower:  // this node's knowledge of the leader is outdated
     case ProbeResult::none:
       on_failure(now);
       return;
--- a/src/relay/leader_link.hpp
+++ b/src/relay/leader_link.hpp
@@ -1,4 +1,4 @@
-// A follower's link to the leader for workers' heartbeats, as a state machine.
+// State machine of a follower's link to the leader for forwarded heartbeats.
 #pragma once
 #include <string>
 #include <string_view>
@@ -7,67 +7,67 @@
 
 namespace martenwall::relay {
 
-// Whether the leader takes heartbeats over the link.
+// Whether the leader accepts heartbeats over the link.
 enum class LinkState {
-  none,         // no other node leads, as far as known
-  probing,      // a leader is known; whether it takes heartbeats over this link is not
+  none,         // no other node is known to lead
+  probing,      // a leader is known; it is unknown whether it accepts heartbeats over this link
   open,         // heartbeats are forwarded
-  suspected,    // it did not answer lately: most likely another will lead in a moment
-  redirecting,  // the link is down for longer, or the leader's version takes none: workers go there themselves
+  suspected,    // the leader stopped answering: most likely another node will lead soon
+  redirecting,  // the link has been down for longer, or the leader's version accepts none: workers go to the leader
 };
-// For the log.
+// The state's name, for the log.
 std::string_view name_of(LinkState state);
 
-// What to do with a heartbeat that this node cannot answer itself.
+// How to treat a heartbeat that this node cannot answer itself.
 enum class RoutingAdvice {
-  forward,   // hand it to the leader
-  wait,      // keep it: the state of the link will be known soon
+  forward,   // send it to the leader
+  wait,      // hold it: the state of the link will be known soon
   redirect,  // answer 421
 };
 
-// What the other side of a link replied to a probe.
+// The other side's reply to a probe.
 enum class ProbeResult {
   none,         // no reply in time
-  unsupported,  // a reply of a version that does not forward heartbeats
+  unsupported,  // a reply from a version that does not forward heartbeats
   follower,
   leader,
 };
 
-// Decides only; HeartbeatRelay sends the probes and the batches, and reports here how they ended.
+// Makes decisions only: HeartbeatRelay sends the probes and the batches, and reports their results here.
 class LeaderLink {
  public:
-  // `lease`: how long a leader that is gone keeps others from leading. A link that fails for clearly longer than that
-  // fails although its leader lives.
+  // `lease`: how long a failed leader's lease keeps other nodes from leading. If a link fails for clearly longer than
+  // that, its leader is alive and only the link is down.
   explicit LeaderLink(Duration lease);
 
-  // The leader by the store; empty: none, or this node itself. A new name starts the link anew.
+  // Sets the leader according to the store; empty: none, or this node itself. A new name resets the link.
   void set_leader(const std::string& node, Time now);
 
-  // A probe of the current leader has ended.
+  // Handles the end of a probe of the current leader.
   void on_probe_result(ProbeResult result, Time now);
 
-  // A batch of heartbeats to the current leader has ended; `answered`: by a node that leads.
+  // Handles the end of a batch sent to the current leader; `answered`: a node that leads answered it.
   void on_batch_result(bool answered, Time now);
 
-  // What to do with heartbeats now.
+  // Returns how to treat heartbeats at the moment.
   [[nodiscard]] RoutingAdvice advice() const;
 
-  // For the log and the owner's decisions.
+  // For logging and the owner's decisions.
   [[nodiscard]] LinkState state() const { return state_; }
-  // The leader that the state is of; empty where none is known.
+  // The leader that the state refers to; empty if none is known.
   [[nodiscard]] const std::string& leader() const { return leader_; }
 
-  // Whether the link is to be probed now; open ones are not, since batches tell as much.
+  // Returns whether to probe the link. An open link is not probed, since batches show its state.
   [[nodiscard]] bool probe_due(Time now) const;
 
-  // The caller sends a probe now.
+  // Records that the caller sends a probe.
   void probe_sent(Time now) { last_probe_ = now; }
 
  private:
   void transition_to(LinkState next, Time now);
   void on_failure(Time now);
 
-  Duration redirect_delay_;  // a failing link is `suspected` for so long, then `redirecting`
+  Duration redirect_delay_;  // how long a failing link is `suspected` before it is `redirecting`
   LinkState state_ = LinkState::none;
   std::string leader_;
   Time failing_since_{};
--- a/src/relay/worker_balancer.cpp
+++ b/src/relay/worker_balancer.cpp
@@ -5,14 +5,14 @@
 namespace martenwall::relay {
 
 namespace {
-constexpr Duration load_validity = seconds(3);    // each node speaks of itself once a second at least
-constexpr double share_tolerance_factor = 1.2;    // a node holds so many times its fair share before it moves workers
-constexpr double share_tolerance_workers = 8;     // and so many besides: a handful is not worth a reconnection
-constexpr double moves_per_worker_second = 0.02;  // of the workers held, so that they do not all reconnect at once
+constexpr Duration load_validity = seconds(3);  // each node reports its load at least once a second
+constexpr double share_tolerance_factor = 1.2;  // a node moves workers if it holds more than its fair share times this
+constexpr double share_tolerance_workers = 8;   // plus these: a few workers do not justify reconnections
+constexpr double moves_per_worker_second = 0.02;  // per worker held, so that they do not all reconnect at once
 constexpr double min_moves_per_second = 4;
-constexpr double max_fill_fraction = 0.97;        // of another node's room that is filled from here
-constexpr Duration return_window = seconds(12);   // two silent nodes cost a worker ten seconds
-constexpr Duration avoid_duration = seconds(30);  // a node that a worker came back from
+constexpr double max_fill_fraction = 0.97;        // other nodes are filled up to this fraction of their capacity
+constexpr Duration return_window = seconds(12);   // two silent nodes cost a worker 10 s
+constexpr Duration avoid_duration = seconds(30);  // for a node that a worker returned from
 }  // namespace
 
 WorkerBalancer::WorkerBalancer(std::string node, double leader_weight)
@@ -28,7 +28,7 @@
 
 double WorkerBalancer::weight(const std::string& node) const { return node == leader_ ? leader_weight_ : 1.0; }
 
-// How many workers the node should hold, never more than it has room for.
+// Returns how many workers the node should hold, at most its capacity.
 double WorkerBalancer::fair_share(const std::string& node, NodeLoad load, const FleetTotals& totals) const {
   const double share = totals.weights > 0 ? totals.workers * weight(node) / totals.weights : totals.workers;
   return std::min(share, static_cast<double>(load.capacity));
@@ -57,7 +57,8 @@
   moves_.erase(move);
 }
 
-// The node that has most room below its own fair share; when this node is full, below its room. `end` where none has.
+// Returns the node with the most spare capacity below its fair share or, if this node is full, below its total
+// capacity; `end` if no node has any.
 std::map<std::string, WorkerBalancer::OtherNode>::iterator WorkerBalancer::find_target(bool full,
                                                                                        const FleetTotals& totals,
                                                                                        Time now) {
--- a/src/relay/worker_balancer.hpp
+++ b/src/relay/worker_balancer.hpp
@@ -1,4 +1,5 @@
-// Which node a worker should report to: sockets bound how many one node holds, so the fleet is shared out.
+// Decides which node a worker should report to: sockets limit how many workers a node holds, so the fleet is
+// distributed.
 #pragma once
 #include <map>
 #include <string>
@@ -8,57 +9,58 @@
 
 namespace martenwall::relay {
 
-// What a node says of itself.
+// The load that a node reports.
 struct NodeLoad {
-  std::size_t workers = 0;   // connections of workers that it holds
-  std::size_t capacity = 0;  // as many as it would hold
+  std::size_t workers = 0;   // worker connections that it holds
+  std::size_t capacity = 0;  // worker connections that it can hold
 };
 
-// Where a worker that reports here should report from now on.
+// The node that a worker should report to from now on.
 struct Assignment {
-  // What this node does with the worker.
+  // How this node treats the worker.
   enum class Kind {
-    keep,            // it stays here
-    move,            // it is sent to node `to`
-    keep_and_close,  // it is served, but its connection makes room for others'
+    keep,            // it stays at this node
+    move,            // it is redirected to node `to`
+    keep_and_close,  // it is served, but its connection is closed to free a socket
   };
   Kind kind = Kind::keep;
   std::string to{};
 };
 
-// One node's view of the nodes' loads. Only room depends on its decisions, never correctness: any node can serve any
-// worker.
+// One node's view of all nodes' loads. Its decisions affect only the distribution of connections, not correctness: any
+// node can serve any worker.
 class WorkerBalancer {
  public:
-  // `leader_weight`: part of an ordinary node's share that a leader takes, which has more to do.
+  // `leader_weight`: a leader's share as a fraction of another node's, since a leader has more work.
   WorkerBalancer(std::string node, double leader_weight);
 
-  // Another node's load, heard directly or through the leader; ignored where it is this node's own_load. Valid for 3 s.
+  // Updates another node's load, received directly or through the leader. Ignored for this node itself. Valid for 3 s.
   void on_node_load(const std::string& node, NodeLoad load, Time now);
 
-  // The node that leads, which takes a smaller share; empty where none is known.
+  // Sets the leading node, which takes a smaller share; empty if unknown.
   void set_leader(const std::string& node) { leader_ = node; }
 
-  // For a worker that reports here; `own` counts its connection too. Remembers whom it moves: one that comes back
-  // soon did not get through, so that its node is left alone for a while.
+  // Assigns a worker that reports to this node; `own_load` includes its connection. Records redirected workers: one
+  // that returns soon did not reach its target, which then gets no workers for a while.
   Assignment assign(const MachineId& worker, NodeLoad own_load, Time now);
 
-  // Nodes heard of lately, this one included, for those that hear of them through this one.
+  // Returns the loads that are still valid, including this node's own, for nodes that learn of the others through this
+  // one.
   [[nodiscard]] std::map<std::string, NodeLoad> recent_loads(NodeLoad own_load, Time now) const;
 
  private:
   struct OtherNode {
     NodeLoad load;
     Time updated_at{};
-    std::size_t moved_since_update = 0;  // from here, since its load was updated
-    Time avoid_until{};                  // workers do not get through to it
+    std::size_t moved_since_update = 0;  // from this node, since its load was updated
+    Time avoid_until{};                  // workers do not reach it
     [[nodiscard]] double expected_workers() const { return static_cast<double>(load.workers + moved_since_update); }
   };
   struct Move {
     std::string to;
     Time at{};
   };
-  // The workers and the weights of all nodes heard of lately.
+  // Totals of the workers and weights of all nodes with valid loads.
   struct FleetTotals {
     double workers = 0;
     double weights = 0;
@@ -73,7 +75,7 @@
   std::string node_, leader_;
   double leader_weight_;
   std::map<std::string, OtherNode> others_;
-  std::unordered_map<MachineId, Move> moves_;  // of the last seconds, by worker
+  std::unordered_map<MachineId, Move> moves_;  // recent ones, by worker
   Time moves_pruned_at_{};
   Time move_tokens_at_{};
   double move_tokens_ = 0;
--- a/src/runtime/http_parser.cpp
+++ b/src/runtime/http_parser.cpp
@@ -15,28 +15,28 @@
          token_punctuation.find(c) != std::string_view::npos;
 }
 
-bool is_token(std::string_view s) { return !s.empty() && std::ranges::all_of(s, is_token_char); }
+bool is_token(std::string_view text) { return !text.empty() && std::ranges::all_of(text, is_token_char); }
 
-std::string lower(std::string_view s) {
-  std::string out{s};
+std::string lower(std::string_view text) {
+  std::string out{text};
   for (auto& c : out) {
     if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
   }
   return out;
 }
 
-std::string_view trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t')) s.remove_suffix(1);
-  return s;
+std::string_view trim(std::string_view text) {
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  return text;
 }
 
-std::optional<std::uint64_t> number(std::string_view s, int base) {
-  std::uint64_t n = 0;
-  const auto* end = s.data() + s.size();
-  const auto [p, err] = std::from_chars(s.data(), end, n, base);
-  if (s.empty() || err != std::errc{} || p != end) return std::nullopt;
-  return n;
+std::optional<std::uint64_t> number(std::string_view text, int base) {
+  std::uint64_t value = 0;
+  const auto* end = text.data() + text.size();
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, value, base);
+  if (text.empty() || error != std::errc{} || parsed_end != end) return std::nullopt;
+  return value;
 }
 
 }  // namespace
@@ -93,7 +93,7 @@
 void HttpParser::on_line() {
   switch (state_) {
     case State::start_line:
-      if (line_.empty()) return;  // tolerated before a message
+      if (line_.empty()) return;  // empty lines before a message are allowed
       return kind_ == Kind::request ? on_request_line() : on_status_line();
     case State::headers:
       return line_.empty() ? on_headers_end() : on_header_line();
@@ -111,12 +111,12 @@
 
 void HttpParser::on_request_line() {
   const std::string_view line = line_;
-  const auto a = line.find(' ');
-  const auto b = line.rfind(' ');
-  if (a == std::string_view::npos || a == b) return fail(400);
-  message_.method = line.substr(0, a);
-  message_.target = line.substr(a + 1, b - a - 1);
-  const auto version = line.substr(b + 1);
+  const auto first_space = line.find(' ');
+  const auto last_space = line.rfind(' ');
+  if (first_space == std::string_view::npos || first_space == last_space) return fail(400);
+  message_.method = line.substr(0, first_space);
+  message_.target = line.substr(first_space + 1, last_space - first_space - 1);
+  const auto version = line.substr(last_space + 1);
   if (!is_token(message_.method) || message_.target.empty() ||
       message_.target.find_first_of(" \t") != std::string::npos) {
     return fail(400);
@@ -146,22 +146,22 @@
   auto name = lower(line.substr(0, colon));
   const auto value = trim(line.substr(colon + 1));
   if (name == "content-length") {
-    const auto n = number(value, 10);
-    if (!n || (content_length_ && *content_length_ != *n)) return fail(400);
-    content_length_ = n;
+    const auto length = number(value, 10);
+    if (!length || (content_length_ && *content_length_ != *length)) return fail(400);
+    content_length_ = length;
   } else if (name == "transfer-encoding") {
     if (lower(value) != "chunked") return fail(501);
     chunked_ = true;
   } else if (name == "connection") {
-    const auto v = lower(value);
-    if (v.find("close") != std::string::npos) message_.keep_alive = false;
-    if (v.find("keep-alive") != std::string::npos) message_.keep_alive = true;
+    const auto options = lower(value);
+    if (options.find("close") != std::string::npos) message_.keep_alive = false;
+    if (options.find("keep-alive") != std::string::npos) message_.keep_alive = true;
   }
   message_.headers.emplace_back(std::move(name), std::string{value});
 }
 
 void HttpParser::on_headers_end() {
-  // Both at once is how requests are smuggled past another reader of the same bytes.
+  // A message with both headers may be an attempt at request smuggling.
   if (chunked_ && content_length_) return fail(400);
   if (chunked_) return transition_to(State::chunk_size);
   const bool bodiless =
@@ -191,11 +191,11 @@
     }
     return data.size();
   }
-  const auto n = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_bytes_, data.size()));
-  message_.body.append(data.substr(0, n));
-  remaining_bytes_ -= n;
+  const auto size = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_bytes_, data.size()));
+  message_.body.append(data.substr(0, size));
+  remaining_bytes_ -= size;
   if (remaining_bytes_ == 0) transition_to(state_ == State::body ? State::complete : State::chunk_end);
-  return n;
+  return size;
 }
 
 HttpMessage HttpParser::take_message() {
--- a/src/runtime/http_parser.hpp
+++ b/src/runtime/http_parser.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages, read incrementally: any split of the bytes gives the same messages.
+// Incremental parser of HTTP/1.1 messages: the result does not depend on how the bytes are split.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -18,16 +18,16 @@
   std::vector<std::pair<std::string, std::string>> headers;  // names in lower case
   std::string body;
   bool keep_alive = true;
-  // The first header of that name; valid as long as the message.
+  // Returns the value of the first header with this name; valid as long as the message.
   [[nodiscard]] std::optional<std::string_view> header(std::string_view lower_name) const;
 };
 
-// Reads one message after the other from the bytes of a connection.
+// Parses successive messages from the bytes of a connection.
 class HttpParser {
  public:
-  // What the other side sends.
+  // Kind of message to parse.
   enum class Kind { request, response };
-  // What is read next.
+  // Part of the message that is expected next.
   enum class State {
     start_line,
     headers,
@@ -40,26 +40,29 @@
     complete,
     failed
   };
-  // Bytes of a message; a longer one fails.
+  // Maximum sizes of a message's parts; parsing a larger message fails.
   struct Limits {
     std::size_t max_head_bytes = 16 * 1024;
     std::size_t max_body_bytes = 64 * 1024;
   };
-  // Ready for the first message.
+  // Starts at the first message.
   HttpParser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-  // Takes bytes up to the end of one message and returns how many it took.
+  // Parses bytes up to the end of one message and returns how many were consumed.
   std::size_t feed(std::string_view data);
-  void end_of_input();  // the other side closed
+  // Signals that the peer has closed the connection.
+  void end_of_input();
 
-  // A whole message is there, for `take`.
+  // Returns whether a complete message is available to `take_message`.
   [[nodiscard]] bool complete() const { return state_ == State::complete; }
-  // The bytes are no message within the limits.
+  // Returns whether the bytes are malformed or exceed the limits.
   [[nodiscard]] bool failed() const { return state_ == State::failed; }
-  // Some byte of the message was read.
+  // Returns whether any byte of the message has been read.
   [[nodiscard]] bool started() const { return head_bytes_ > 0; }
-  [[nodiscard]] int error_status() const { return error_status_; }  // what a server should answer
-  HttpMessage take_message();                                       // after complete(); ready for the next message then
+  // Returns the status with which a server should respond after a failure.
+  [[nodiscard]] int error_status() const { return error_status_; }
+  // Returns the complete message and starts the next one. Requires `complete()`.
+  HttpMessage take_message();
 
  private:
   void transition_to(State next) { state_ = next; }
@@ -85,9 +88,10 @@
   HttpMessage message_;
 };
 
-// The bytes of a request with a body, and what is written after a status.
+// Returns the bytes of a request.
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
                           std::string_view body);
+// Returns the reason phrase of an HTTP status.
 std::string_view reason_phrase(int status);
 
 }  // namespace martenwall::rt
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -8,16 +8,16 @@
 
 constexpr Duration stall_recovery_window = seconds(0.5);
 
-std::string write_response(const HttpResponse& r, bool close) {
-  std::string out = "HTTP/1.1 " + std::to_string(r.status) + " ";
-  out.append(reason_phrase(r.status))
+std::string write_response(const HttpResponse& response, bool close) {
+  std::string out = "HTTP/1.1 " + std::to_string(response.status) + " ";
+  out.append(reason_phrase(response.status))
       .append("\r\nContent-Type: ")
-      .append(r.content_type)
+      .append(response.content_type)
       .append("\r\nContent-Length: ");
-  out.append(std::to_string(r.body.size()));
-  if (r.retry_after_s) out.append("\r\nRetry-After: ").append(std::to_string(*r.retry_after_s));
+  out.append(std::to_string(response.body.size()));
+  if (response.retry_after_s) out.append("\r\nRetry-After: ").append(std::to_string(*response.retry_after_s));
   if (close) out.append("\r\nConnection: close");
-  out.append("\r\n\r\n").append(r.body);
+  out.append("\r\n\r\n").append(response.body);
   return out;
 }
 
@@ -29,7 +29,7 @@
 Task<void> HttpServer::serve() {
   for (;;) {
     auto socket = co_await listener_.accept();
-    // Over the bound the connection is closed at once, so that its user tries another node.
+    // Above the limit, the connection is closed immediately, so that the client tries another node.
     if (!socket || open_connections_ >= limits_.max_connections) continue;
     spawn(connection(std::move(*socket)));
   }
@@ -40,14 +40,14 @@
   Time deadline = loop_.now() + idle_timeout;
   std::array<char, 8192> buffer{};
   for (;;) {
-    const bool before = parser.started();
+    const bool was_started = parser.started();
     unparsed.erase(0, parser.feed(unparsed));
-    if (!before && parser.started()) deadline = loop_.now() + limits_.request_timeout;
+    if (!was_started && parser.started()) deadline = loop_.now() + limits_.request_timeout;
     if (parser.complete()) co_return std::optional<HttpMessage>{parser.take_message()};
     if (parser.failed()) co_return std::nullopt;
-    const long n = co_await socket.read_some(buffer.data(), buffer.size(), deadline);
-    if (n <= 0) co_return std::nullopt;
-    unparsed.append(buffer.data(), static_cast<std::size_t>(n));
+    const long size = co_await socket.read_some(buffer.data(), buffer.size(), deadline);
+    if (size <= 0) co_return std::nullopt;
+    unparsed.append(buffer.data(), static_cast<std::size_t>(size));
   }
 }
 
@@ -61,8 +61,8 @@
         co_await read_request(socket, parser, unparsed, bulk ? limits_.bulk_idle_timeout : limits_.idle_timeout);
     const bool is_bulk = request && !limits_.bulk_path.empty() && request->target.starts_with(limits_.bulk_path);
     if (is_bulk && !std::exchange(bulk, true)) ++bulk_connections_;
-    // What waited while this process stood still is older than its sender's patience: work for someone who has
-    // left would only hold up those who are there.
+    // After a stall, requests may be older than their clients' timeouts. Work for clients that have disconnected would
+    // only delay the others.
     const bool after_stall = loop_.now() - loop_.last_stall().ended < stall_recovery_window;
     if (request && after_stall && socket.peer_closed()) break;
     HttpResponse response;
@@ -72,7 +72,7 @@
       try {
         response = co_await handler_(std::move(*request));
       } catch (const std::exception&) {
-        // A fault in one request must not take the others with it.
+        // An error in one request must not affect the others.
         response = HttpResponse{500, R"({"error":"internal"})", 1, true};
       }
     } else if (parser.failed()) {
--- a/src/runtime/http_server.hpp
+++ b/src/runtime/http_server.hpp
@@ -1,4 +1,4 @@
-// Serves HTTP/1.1 on a listener. Every connection has deadlines and limits.
+// HTTP/1.1 server. Every connection has deadlines and size limits.
 #pragma once
 #include <functional>
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace martenwall::rt {
 
-// What a handler answers. `retry_after_s` and `close` become the headers of these names.
+// Response of a handler. `retry_after_s` becomes the header Retry-After; `close` becomes Connection: close.
 struct HttpResponse {
   int status = 200;
   std::string body;
@@ -18,32 +18,33 @@
   std::string content_type{"application/json"};
 };
 
-// Serves the connections of one listener. Its owner keeps it alive as long as the loop runs.
+// Serves the connections of one listener. Must live as long as the loop runs.
 class HttpServer {
  public:
   using Handler = std::function<Task<HttpResponse>(HttpMessage)>;
-  // Limits of connections in number and time.
+  // Limits on the number of connections and on their waiting times.
   struct Limits {
     std::size_t max_connections = 256;
-    Duration idle_timeout = seconds(90);      // between requests
-    Duration request_timeout = seconds(10);   // from a request's first byte to its last
-    Duration response_timeout = seconds(10);  // to take our response
-    // Connections whose requests begin with this path are counted apart: they are many, and give way to others.
+    Duration idle_timeout = seconds(90);      // between two requests of a connection
+    Duration request_timeout = seconds(10);   // from the first to the last byte of a request
+    Duration response_timeout = seconds(10);  // until the response has been sent
+    // Connections with requests to paths of this prefix are counted separately and have an idle timeout of their own:
+    // there are many of them, and they yield to other connections.
     std::string bulk_path{};
     Duration bulk_idle_timeout = seconds(90);
   };
 
-  // Listens from here on; throws where the address cannot be bound. `handler` is called only after `serve` was started.
+  // Starts to listen; throws if the address cannot be bound. `handler` is not called before `serve` is started.
   HttpServer(Loop& loop, const Endpoint& at, Limits limits, Handler handler);
 
-  // Accepts connections; never ends.
+  // Accepts connections; never returns.
   Task<void> serve();
 
-  // The port that it listens on.
+  // Returns the port on which the server listens.
   [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
-  // Open connections.
+  // Returns the number of open connections.
   [[nodiscard]] std::size_t open_connections() const { return open_connections_; }
-  // Those of them that have sent a request to `Limits::bulk_path`.
+  // Returns the number of open connections that have sent a request to `Limits::bulk_path`.
   [[nodiscard]] std::size_t bulk_connections() const { return bulk_connections_; }
 
  private:
@@ -56,7 +57,7 @@
   Limits limits_;
   Handler handler_;
   std::size_t open_connections_ = 0;
-  std::size_t bulk_connections_ = 0;  // of these, by `Limits::bulk_path`
+  std::size_t bulk_connections_ = 0;  // included in `open_connections_`
 };
 
 }  // namespace martenwall::rt
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -23,7 +23,7 @@
   update_time();
 }
 
-// What is left belongs to coroutines that will never be resumed.
+// The remaining descriptors belong to coroutines that will never be resumed.
 Loop::~Loop() {
   for (const auto& [fd, waiters] : waiters_) ::close(fd);
   ::close(epoll_);
@@ -42,10 +42,10 @@
 }
 
 void Loop::add(int fd) {
-  epoll_event e{};
-  e.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  e.data.fd = fd;
-  if (::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &e) != 0) {
+  epoll_event event{};
+  event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
+  event.data.fd = fd;
+  if (::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0) {
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
   waiters_[fd] = {};
@@ -56,16 +56,16 @@
   waiters_.erase(fd);
 }
 
-Loop::TimerKey Loop::add_timer(Time at, Timer t) {
+Loop::TimerKey Loop::add_timer(Time at, Timer timer) {
   const TimerKey key{at, next_id_++};
-  timers_.emplace(key, t);
+  timers_.emplace(key, timer);
   return key;
 }
 
 void Loop::IoWait::await_suspend(std::coroutine_handle<> h) {
   handle = h;
-  auto& w = loop.waiters_[fd];
-  (direction == Direction::read ? w.reader : w.writer) = this;
+  auto& waiters = loop.waiters_[fd];
+  (direction == Direction::read ? waiters.reader : waiters.writer) = this;
   key = loop.add_timer(deadline, {h, this});
 }
 
@@ -84,8 +84,8 @@
     const auto timer = timers_.begin()->second;
     timers_.erase(timers_.begin());
     if (timer.io != nullptr) {
-      auto& w = waiters_[timer.io->fd];
-      (timer.io->direction == Direction::read ? w.reader : w.writer) = nullptr;
+      auto& waiters = waiters_[timer.io->fd];
+      (timer.io->direction == Direction::read ? waiters.reader : waiters.writer) = nullptr;
     }
     ready_.push_back(timer.handle);
   }
@@ -95,26 +95,26 @@
   while (!ready_.empty()) {
     std::vector<std::coroutine_handle<>> batch;
     batch.swap(ready_);
-    for (auto h : batch) h.resume();
+    for (auto handle : batch) handle.resume();
   }
 }
 
-void Loop::dispatch(const epoll_event& e) {
-  const auto it = waiters_.find(e.data.fd);
+void Loop::dispatch(const epoll_event& event) {
+  const auto it = waiters_.find(event.data.fd);
   if (it == waiters_.end()) return;
   constexpr unsigned failed = EPOLLERR | EPOLLHUP;
-  if ((e.events & (EPOLLIN | EPOLLRDHUP | failed)) != 0) wake(it->second.reader, true);
-  if ((e.events & (EPOLLOUT | failed)) != 0) wake(it->second.writer, true);
+  if ((event.events & (EPOLLIN | EPOLLRDHUP | failed)) != 0) wake(it->second.reader, true);
+  if ((event.events & (EPOLLOUT | failed)) != 0) wake(it->second.writer, true);
 }
 
 void Loop::step() {
   run_ready();
-  int timeout = 1000;
+  int timeout_ms = 1000;
   if (!timers_.empty()) {
-    const auto left = timers_.begin()->first.first - update_time();
-    timeout = static_cast<int>(std::clamp<std::int64_t>((left.count() + 999) / 1000, 0, 1000));
+    const auto until_timer = timers_.begin()->first.first - update_time();
+    timeout_ms = static_cast<int>(std::clamp<std::int64_t>((until_timer.count() + 999) / 1000, 0, 1000));
   }
-  poll_events(timeout);
+  poll_events(timeout_ms);
 }
 
 bool Loop::poll() {
@@ -126,14 +126,14 @@
 bool Loop::poll_events(int timeout_ms) {
   std::array<epoll_event, max_epoll_events> events{};
   expected_wait_ = std::chrono::milliseconds(timeout_ms);
-  const int n = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
+  const int count = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
   update_time();
   expected_wait_ = Duration{0};
-  for (int i = 0; i < n; ++i) dispatch(events.at(static_cast<std::size_t>(i)));
+  for (int i = 0; i < count; ++i) dispatch(events.at(static_cast<std::size_t>(i)));
   run_timers();
-  const bool any = !ready_.empty();
+  const bool has_ready = !ready_.empty();
   run_ready();
-  return any;
+  return has_ready;
 }
 
 void Loop::run() {
@@ -152,13 +152,13 @@
 }
 
 void Event::notify() {
-  for (auto* w : std::exchange(waiting_, {})) {
-    w->notified = loop_.timers_.erase(w->key) > 0;
-    if (w->notified) {
-      loop_.ready_.push_back(w->handle);
+  for (auto* wait : std::exchange(waiting_, {})) {
+    wait->notified = loop_.timers_.erase(wait->key) > 0;
+    if (wait->notified) {
+      loop_.ready_.push_back(wait->handle);
     } else {
-      // Its deadline came in this very pass and its handle is queued already.
-      w->notified = true;
+      // The deadline passed in this iteration, so the handle is already queued.
+      wait->notified = true;
     }
   }
 }
--- a/src/runtime/loop.hpp
+++ b/src/runtime/loop.hpp
@@ -1,4 +1,4 @@
-// One thread's event loop on epoll: readiness, timers and wake-ups of coroutines.
+// Single-threaded event loop on epoll: descriptor readiness, timers and coroutine wake-ups.
 #pragma once
 #include <sys/epoll.h>
 
@@ -15,51 +15,54 @@
 
 namespace martenwall::rt {
 
-// Runs all coroutines of a process, one at a time: between two suspensions nothing else changes. `now` is the time of
-// the current pass, the same until the loop goes on or `update_time` is called.
+// Runs all coroutines of a process, one at a time: between two suspensions of a coroutine, no other one runs. `now` is
+// the time of the current iteration; it is constant until the next iteration or a call of `update_time`.
 class Loop {
  public:
   using TimerKey = std::pair<Time, std::uint64_t>;
 
-  // Where the time comes from; tests move it by hand.
+  // Time source; tests use a manually advanced clock.
   using Clock = std::function<Time()>;
-  // On the steady clock.
+  // Uses the steady clock.
   Loop();
-  // On another clock.
+  // Uses another clock.
   explicit Loop(Clock clock);
-  // Suspended coroutines are not destroyed with it.
+  // Does not destroy suspended coroutines.
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
   Loop(Loop&&) = delete;
   Loop& operator=(Loop&&) = delete;
 
-  // The time of the current pass.
+  // Returns the time of the current iteration.
   [[nodiscard]] Time now() const { return now_; }
-  // Reads the clock anew, for decisions that bind others.
+  // Reads the clock and returns the time, for decisions on which other processes rely.
   Time update_time();
-  // When this process last stood still (frozen, or without its processor) for a second or more, and how long.
+  // Period of one second or more in which the process did not run (frozen, or not scheduled).
   struct Stall {
     Time ended{};
     Duration length{0};
   };
-  // All zero where there was none.
+  // Returns the latest stall; all zero if there was none.
   [[nodiscard]] const Stall& last_stall() const { return stall_; }
-  // Called with each, before anything else runs.
+  // Sets a callback for every stall, which runs before any coroutine is resumed.
   void on_stall(std::function<void(const Stall&)> call) { on_stall_ = std::move(call); }
 
-  // Passes for ever.
+  // Runs iterations forever.
   [[noreturn]] void run();
-  void step();  // one pass over timers and readiness
-  bool poll();  // the same without waiting, for whoever moves the clock; false where nothing was to be done
+  // Runs one iteration over timers and ready descriptors; waits for the next event.
+  void step();
+  // Runs one iteration without waiting, for callers that advance the clock. Returns false if nothing was to be done.
+  bool poll();
 
-  // Watches a descriptor for `wait_io`; Socket does so for its own.
+  // Registers a descriptor for `wait_io`; Socket registers its own.
   void add(int fd);
-  void remove(int fd);  // wakes nobody: the owner must not wait on it any more
-  // Resumes the coroutine in this pass or the next.
+  // Unregisters a descriptor. Resumes no coroutine: none may be waiting on the descriptor.
+  void remove(int fd);
+  // Resumes the coroutine in this iteration or the next.
   void post(std::coroutine_handle<> h) { ready_.push_back(h); }
 
-  // What a descriptor is waited for.
+  // Kind of readiness to wait for.
   enum class Direction { read, write };
   // Resumes with true once the descriptor may be ready, with false at the deadline.
   struct IoWait {
@@ -75,10 +78,10 @@
     void await_suspend(std::coroutine_handle<> h);
     [[nodiscard]] bool await_resume() const noexcept { return ready; }
   };
-  // One reader and one writer at a time may wait on a descriptor.
-  IoWait wait_io(int fd, Direction d, Time deadline) { return IoWait{*this, fd, d, deadline}; }
+  // Waits for readiness. At most one reader and one writer may wait on a descriptor at a time.
+  IoWait wait_io(int fd, Direction direction, Time deadline) { return IoWait{*this, fd, direction, deadline}; }
 
-  // Resumes at a time.
+  // Resumes at the given time.
   struct Sleep {
     Loop& loop;
     Time until;
@@ -87,8 +90,8 @@
     void await_suspend(std::coroutine_handle<> h);
     void await_resume() const noexcept {}  // called by co_await
   };
-  // Resumes after the duration, counted from the current pass.
-  Sleep sleep(Duration d) { return Sleep{*this, now_ + d}; }
+  // Resumes after the duration, which counts from the time of the current iteration.
+  Sleep sleep(Duration duration) { return Sleep{*this, now_ + duration}; }
 
  private:
   friend class Event;
@@ -100,17 +103,17 @@
     std::coroutine_handle<> handle;
     IoWait* io = nullptr;
   };
-  TimerKey add_timer(Time at, Timer t);
+  TimerKey add_timer(Time at, Timer timer);
   void wake(IoWait*& slot, bool ready);
   void run_timers();
   void run_ready();
   bool poll_events(int timeout_ms);
-  void dispatch(const epoll_event& e);
+  void dispatch(const epoll_event& event);
 
   Clock clock_;
   int epoll_ = -1;
   Time now_{};
-  Duration expected_wait_{0};  // the wait that is under way
+  Duration expected_wait_{0};  // timeout of the current wait for events
   Stall stall_;
   std::function<void(const Stall&)> on_stall_;
   std::uint64_t next_id_ = 0;
@@ -119,12 +122,13 @@
   std::vector<std::coroutine_handle<>> ready_;
 };
 
-// Coroutines wait until it is set (or a deadline); `notify` wakes all that wait now.
+// Wakes waiting coroutines: each waits until the next `notify` or until its deadline.
 class Event {
  public:
-  // The loop must outlive it, and it must outlive whoever waits.
+  // The loop must outlive the event, and the event must outlive its waiters.
   explicit Event(Loop& loop) : loop_(loop) {}
-  // Wakes all that wait now, in their order, once the caller suspends. Who waits later is not woken by it.
+  // Wakes all current waiters, in the order in which they began to wait, once the caller suspends. Later waiters are
+  // not woken.
   void notify();
 
   // Resumes with true once notified, with false at the deadline.
@@ -140,10 +144,10 @@
     void await_suspend(std::coroutine_handle<> h);
     bool await_resume() noexcept;  // called by co_await
   };
-  // A condition that was waited for has to be checked again after either.
+  // Waits until notified or until the deadline. In either case the caller has to recheck its condition.
   Wait wait(Time deadline) { return Wait{*this, deadline}; }
-  // The same with a duration, counted from the current pass.
-  Wait wait_for(Duration d) { return Wait{*this, loop_.now() + d}; }
+  // Waits with a timeout that counts from the time of the current iteration.
+  Wait wait_for(Duration timeout) { return Wait{*this, loop_.now() + timeout}; }
 
  private:
   Loop& loop_;
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -16,12 +16,12 @@
 
 [[noreturn]] void fail(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
 
-std::optional<sockaddr_in> address_of(const Endpoint& e) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(e.port);
-  if (::inet_pton(AF_INET, e.host.c_str(), &a.sin_addr) != 1) return std::nullopt;
-  return a;
+std::optional<sockaddr_in> address_of(const Endpoint& endpoint) {
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(endpoint.port);
+  if (::inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr) != 1) return std::nullopt;
+  return address;
 }
 
 int open_socket() { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
@@ -34,14 +34,14 @@
 bool is_would_block_error() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
 int open_listener(const Endpoint& at) {
-  const auto a = address_of(at);
-  if (!a) throw std::invalid_argument("not an IPv4 address: " + at.host);
+  const auto address = address_of(at);
+  if (!address) throw std::invalid_argument("not an IPv4 address: " + at.host);
   const int fd = open_socket();
   if (fd < 0) fail("socket");
   const int one = 1;
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the socket API's own way
-  if (::bind(fd, reinterpret_cast<const sockaddr*>(&*a), sizeof *a) != 0) fail("bind");
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): required by the socket API
+  if (::bind(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0) fail("bind");
   if (::listen(fd, 512) != 0) fail("listen");
   return fd;
 }
@@ -51,11 +51,11 @@
 std::optional<Endpoint> Endpoint::parse(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
-  Endpoint e{std::string{text.substr(0, colon)}, 0};
+  Endpoint endpoint{std::string{text.substr(0, colon)}, 0};
   const auto port = text.substr(colon + 1);
-  const auto [end, err] = std::from_chars(port.data(), port.data() + port.size(), e.port);
-  if (err != std::errc{} || end != port.data() + port.size() || !address_of(e)) return std::nullopt;
-  return e;
+  const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), endpoint.port);
+  if (error != std::errc{} || end != port.data() + port.size() || !address_of(endpoint)) return std::nullopt;
+  return endpoint;
 }
 
 Socket::Socket(Loop& loop, int fd) : loop_(&loop), fd_(fd) { loop_->add(fd_); }
@@ -78,15 +78,15 @@
 }
 
 bool Socket::peer_closed() const {
-  char c = 0;
-  const auto n = ::recv(fd_, &c, 1, MSG_PEEK | MSG_DONTWAIT);
-  return n == 0 || (n < 0 && !is_would_block_error() && errno != EINTR);
+  char peeked = 0;
+  const auto size = ::recv(fd_, &peeked, 1, MSG_PEEK | MSG_DONTWAIT);
+  return size == 0 || (size < 0 && !is_would_block_error() && errno != EINTR);
 }
 
 Task<long> Socket::read_some(char* to, std::size_t size, Time deadline) {
   for (;;) {
-    const auto n = ::recv(fd_, to, size, 0);
-    if (n >= 0) co_return n;
+    const auto received = ::recv(fd_, to, size, 0);
+    if (received >= 0) co_return received;
     if (errno == EINTR) continue;
     if (!is_would_block_error()) co_return -1;
     const bool ready = co_await loop_->wait_io(fd_, Loop::Direction::read, deadline);
@@ -96,13 +96,13 @@
 
 Task<bool> Socket::write_all(std::string_view data, Time deadline) {
   while (!data.empty()) {
-    const auto n = ::send(fd_, data.data(), data.size(), MSG_NOSIGNAL);
-    if (n > 0) {
-      data.remove_prefix(static_cast<std::size_t>(n));
+    const auto sent = ::send(fd_, data.data(), data.size(), MSG_NOSIGNAL);
+    if (sent > 0) {
+      data.remove_prefix(static_cast<std::size_t>(sent));
       continue;
     }
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0 && !is_would_block_error()) co_return false;
+    if (sent < 0 && errno == EINTR) continue;
+    if (sent < 0 && !is_would_block_error()) co_return false;
     const bool ready = co_await loop_->wait_io(fd_, Loop::Direction::write, deadline);
     if (!ready) co_return false;
   }
@@ -110,32 +110,32 @@
 }
 
 Task<std::optional<Socket>> Socket::connect(Loop& loop, Endpoint to, Time deadline) {
-  const auto a = address_of(to);
-  const int fd = a ? open_socket() : -1;
+  const auto address = address_of(to);
+  const int fd = address ? open_socket() : -1;
   if (fd < 0) co_return std::nullopt;
-  Socket s{loop, fd};
+  Socket socket{loop, fd};
   disable_nagle(fd);
-  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the socket API's own way
-  const int rc = ::connect(fd, reinterpret_cast<const sockaddr*>(&*a), sizeof *a);
-  if (rc != 0 && errno != EINPROGRESS) co_return std::nullopt;
-  if (rc != 0) {
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): required by the socket API
+  const int result = ::connect(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof *address);
+  if (result != 0 && errno != EINPROGRESS) co_return std::nullopt;
+  if (result != 0) {
     const bool ready = co_await loop.wait_io(fd, Loop::Direction::write, deadline);
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
     if (!ready || error != 0) co_return std::nullopt;
   }
-  co_return std::optional<Socket>{std::move(s)};
+  co_return std::optional<Socket>{std::move(socket)};
 }
 
 Listener::Listener(Loop& loop, const Endpoint& at) : loop_(loop), socket_(loop, open_listener(at)) {}
 
 std::uint16_t Listener::port() const {
-  sockaddr_in a{};
-  socklen_t size = sizeof a;
-  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the socket API's own way
-  if (::getsockname(socket_.fd(), reinterpret_cast<sockaddr*>(&a), &size) != 0) fail("getsockname");
-  return ntohs(a.sin_port);
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): required by the socket API
+  if (::getsockname(socket_.fd(), reinterpret_cast<sockaddr*>(&address), &size) != 0) fail("getsockname");
+  return ntohs(address.sin_port);
 }
 
 Task<std::optional<Socket>> Listener::accept() {
@@ -147,12 +147,12 @@
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
     if (!is_would_block_error()) {
-      // Out of descriptors: wait for some to be freed instead of spinning.
+      // Probably out of descriptors: waits for some to be freed instead of spinning.
       co_await loop_.sleep(seconds(0.1));
       co_return std::nullopt;
     }
     const Time until = loop_.now() + seconds(1);
-    // Ready or not, the next try tells.
+    // The next call of accept4 shows whether a connection is ready.
     [[maybe_unused]] const bool ready = co_await loop_.wait_io(socket_.fd(), Loop::Direction::read, until);
   }
 }
--- a/src/runtime/socket.hpp
+++ b/src/runtime/socket.hpp
@@ -1,4 +1,4 @@
-// Non-blocking TCP on the loop. Every wait has a deadline.
+// Non-blocking TCP sockets on the event loop. Every wait has a deadline.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,36 +11,37 @@
 
 // An address to connect to or listen at.
 struct Endpoint {
-  std::string host;  // an IPv4 number: there is no name look-up
+  std::string host;  // IPv4 address; host names are not resolved
   std::uint16_t port = 0;
-  // "10.1.0.232:9000"; nothing where the text is anything else.
+  // Parses "10.1.0.232:9000"; returns no value for text of any other form.
   static std::optional<Endpoint> parse(std::string_view text);
 };
 
-// A connection; owns its descriptor.
+// TCP connection; owns its descriptor.
 class Socket {
  public:
-  // Takes the descriptor.
+  // Takes ownership of the descriptor.
   Socket(Loop& loop, int fd);
-  // No coroutine may wait on a socket that is moved or destroyed.
+  // No coroutine may be waiting on a socket that is moved or destroyed.
   Socket(Socket&& other) noexcept;
   Socket& operator=(Socket&& other) noexcept;
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
   ~Socket();  // closes it
 
-  // The descriptor, -1 once closed.
+  // Returns the descriptor; -1 once closed.
   [[nodiscard]] int fd() const { return fd_; }
-  // May be called again.
+  // Closes the descriptor. Repeated calls have no effect.
   void close();
-  // The other side has closed, so that no one waits for an answer any more.
+  // Returns whether the peer has closed the connection and does not wait for a response.
   [[nodiscard]] bool peer_closed() const;
-  // Bytes read; 0 at the other side's end; -1 at an error or the deadline.
+  // Returns the number of bytes read; 0 if the peer has closed the connection; -1 on an error or at the deadline.
   Task<long> read_some(char* to, std::size_t size, Time deadline);
-  // False at an error or the deadline; some bytes may have been sent then. `data` must stand until it ends.
+  // Writes all of `data`, which must stay valid until the task ends. Returns false on an error or at the deadline; part
+  // of the data may have been sent.
   Task<bool> write_all(std::string_view data, Time deadline);
 
-  // Nothing at an error or the deadline.
+  // Opens a connection; returns no value on an error or at the deadline.
   static Task<std::optional<Socket>> connect(Loop& loop, Endpoint to, Time deadline);
 
  private:
@@ -51,11 +52,12 @@
 // Accepts connections at an address.
 class Listener {
  public:
-  // Throws where the address cannot be bound.
+  // Starts to listen; throws if the address cannot be bound.
   Listener(Loop& loop, const Endpoint& at);
-  // The next connection; nothing at an error, after which the caller tries again.
+  // Returns the next connection; no value on an error, after which the caller should retry.
   Task<std::optional<Socket>> accept();
-  [[nodiscard]] std::uint16_t port() const;  // the one given by the system where 0 was asked for
+  // Returns the port; if port 0 was requested, the one that the system assigned.
+  [[nodiscard]] std::uint16_t port() const;
 
  private:
   Loop& loop_;
--- a/src/runtime/task.hpp
+++ b/src/runtime/task.hpp
@@ -1,4 +1,4 @@
-// A lazily started coroutine. The awaiting coroutine resumes when it ends.
+// Coroutine tasks. A task starts when it is awaited; the awaiting coroutine resumes when the task ends.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -12,11 +12,11 @@
 
 namespace detail {
 
-// At a coroutine's end: goes on with the coroutine that awaits it.
+// Resumes the awaiting coroutine at the end of a coroutine.
 struct FinalAwaiter {
   [[nodiscard]] bool await_ready() const noexcept { return false; }  // called by co_await
   template <class P>
-  // Called by co_await; without an awaiting coroutine nothing is resumed.
+  // Called by co_await; resumes nothing if there is no awaiting coroutine.
   [[nodiscard]] std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) const noexcept {
     auto next = h.promise().continuation;
     return next ? next : std::noop_coroutine();
@@ -24,13 +24,13 @@
   void await_resume() const noexcept {}  // called by co_await
 };
 
-// What the promises of all results share. The functions are those that the language calls.
+// Common base of all promise types. The language calls its functions.
 struct PromiseBase {
   std::coroutine_handle<> continuation;
   std::exception_ptr error;
   std::suspend_always initial_suspend() noexcept { return {}; }  // starts when awaited
   FinalAwaiter final_suspend() noexcept { return {}; }           // the owning Task frees the frame
-  // Kept for the awaiting coroutine, which gets it thrown.
+  // Stores the exception; it is rethrown in the awaiting coroutine.
   void unhandled_exception() noexcept { error = std::current_exception(); }
 };
 
@@ -40,7 +40,7 @@
   Task<T> get_return_object();  // called by the language
   // Called by co_return.
   void return_value(T v) { value.emplace(std::move(v)); }
-  // For the awaiting coroutine, once.
+  // Returns the result to the awaiting coroutine, or rethrows the exception. May be called once.
   T result() {
     if (error) std::rethrow_exception(error);
     return std::move(*value);
@@ -51,7 +51,7 @@
 struct Promise<void> : PromiseBase {  // of a coroutine without a result
   Task<void> get_return_object();     // called by the language
   void return_void() noexcept {}      // called at the coroutine's end
-  // Throws what escaped from the coroutine.
+  // Rethrows the exception that escaped from the coroutine, if any.
   void result() const {
     if (error) std::rethrow_exception(error);
   }
@@ -59,6 +59,7 @@
 
 }  // namespace detail
 
+// Owner of a lazily started coroutine with a result of type T.
 template <class T = void>
 class [[nodiscard]] Task {
  public:
@@ -67,23 +68,23 @@
 
   // Called by the promise.
   explicit Task(Handle h) : handle_(h) {}
-  // Only one task owns a coroutine.
+  // Moves the ownership of the coroutine; it has a single owner.
   Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task(const Task&) = delete;
   Task& operator=(const Task&) = delete;
   Task& operator=(Task&&) = delete;
-  // Destroys the coroutine with all that it holds, wherever it stands.
+  // Destroys the coroutine and its locals, also if it is suspended.
   ~Task() {
     if (handle_) handle_.destroy();
   }
 
   [[nodiscard]] bool await_ready() const noexcept { return false; }  // called by co_await
-  // Called by co_await: starts the coroutine in place of the one that awaits it.
+  // Called by co_await: transfers control to the coroutine.
   std::coroutine_handle<> await_suspend(std::coroutine_handle<> waiter) noexcept {
     handle_.promise().continuation = waiter;
     return handle_;
   }
-  // Called by co_await: the result, or what escaped from the coroutine.
+  // Called by co_await: returns the result, or rethrows the exception that escaped from the coroutine.
   T await_resume() { return handle_.promise().result(); }
 
  private:
@@ -99,22 +100,23 @@
   return Task<void>{std::coroutine_handle<Promise<void>>::from_promise(*this)};
 }
 
-// Owns itself: starts at once, frees itself at its end. An escaped exception ends the process,
-// since no one is left to hear of it.
+// Coroutine without an owner: starts immediately and frees itself at its end. An escaped exception terminates the
+// process, since nothing can catch it.
 struct Detached {
   // Required by the language.
   struct promise_type {
-    Detached get_return_object() noexcept { return {}; }          // no one holds it
-    std::suspend_never initial_suspend() noexcept { return {}; }  // starts at once
+    Detached get_return_object() noexcept { return {}; }          // no owner
+    std::suspend_never initial_suspend() noexcept { return {}; }  // starts immediately
     std::suspend_never final_suspend() noexcept { return {}; }    // frees itself
     void return_void() noexcept {}                                // no result
-    void unhandled_exception() noexcept { std::terminate(); }     // no one could handle it
+    void unhandled_exception() noexcept { std::terminate(); }     // nothing can handle it
   };
 };
 }  // namespace detail
 
-// Runs the task without an owner: it ends by itself, and whatever it refers to must live until then. Nothing waits for
-// it, and an exception that escapes from it ends the process. Whoever calls this says what ends the task.
+// Runs the task without an owner. Everything that the task refers to must outlive it. Nothing waits for the task, and
+// an exception that escapes from it terminates the process. The caller has to ensure that the task ends, and documents
+// how.
 inline detail::Detached spawn(Task<void> task) { co_await std::move(task); }
 
 }  // namespace martenwall::rt
--- a/src/service/cancellation_service.cpp
+++ b/src/service/cancellation_service.cpp
@@ -6,9 +6,9 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration forward_timeout = seconds(2);         // of a user's 5 s; the note is the other way
-constexpr Duration result_timeout = seconds(3);          // until the final state has to be stored
-constexpr Duration result_poll_interval = seconds(0.4);  // each look at it is a request to the store
+constexpr Duration forward_timeout = seconds(2);         // of a user's 5 s; then an inbox entry is written instead
+constexpr Duration result_timeout = seconds(3);          // by then the final state must be stored
+constexpr Duration result_poll_interval = seconds(0.4);  // each poll is a request to the store
 }  // namespace
 
 CancellationService::CancellationService(Context& ctx, PeerService& peers, LeaderService& leader_service,
@@ -34,7 +34,7 @@
     if (lookup.existence == Existence::absent) co_return no_such_job();
     if (lookup.exists() && is_final(lookup.status.phase)) co_return status_response(200, lookup.status);
   }
-  // Looked at after the wait: this node may not lead any more.
+  // Checked after the suspension: this node may have lost the leadership.
   if (!ctx_.has_valid_lease() || !ctx_.scheduler->cancel(id, ctx_.now())) co_return retry_later("no leader");
   ctx_.notify_pending_work();
   ctx_.write_committed.notify();  // stop commands need no commit
@@ -43,7 +43,7 @@
   co_return status_response(200, *stored);
 }
 
-// Where the leader cannot be reached, it is told by way of the store.
+// Requests the cancellation by an entry in the leader's inbox in the store, if the leader cannot be reached.
 rt::Task<rt::HttpResponse> CancellationService::cancel_by_inbox_entry(JobId id) {
   const Time deadline = ctx_.now() + result_timeout;
   const JobRowStore::Read row = co_await job_rows_.read(id);
--- a/src/service/cancellation_service.hpp
+++ b/src/service/cancellation_service.hpp
@@ -1,4 +1,4 @@
-// Cancellations: a user is told only what is stored.
+// Cancellations: responses report only what is stored.
 #pragma once
 #include <string>
 
@@ -12,18 +12,18 @@
 
 namespace martenwall::service {
 
-// Cancels jobs as the leader, through the leader, or by a note in the leader's inbox. Answers 200 only once the job's
-// final state is in the store, so that no later leader can run it again.
+// Cancels jobs as the leader, through the leader, or by an entry in the leader's inbox. Answers 200 only once the job's
+// final state is in the store, so that no later leader can run the job again.
 class CancellationService {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this service.
   CancellationService(Context& ctx, PeerService& peers, LeaderService& leader_service, JobRowStore& job_rows,
                       JobReader& reader, InboxWriter& inbox);
 
-  // A user's POST /api/jobs/{id}/cancel at this node: 200 with the final state, 404, or 503.
+  // Handles a user's POST /api/jobs/{id}/cancel at this node: 200 with the final state, 404, or 503.
   rt::Task<rt::HttpResponse> cancel(std::string id);
 
-  // The same where this node leads, also for requests that other nodes forward.
+  // Cancels the job if this node leads; also handles requests that other nodes forward.
   rt::Task<rt::HttpResponse> cancel_as_leader(JobId id);
 
  private:
--- a/src/service/cleanup_queue.hpp
+++ b/src/service/cleanup_queue.hpp
@@ -1,4 +1,4 @@
-// Keys that no one reads any more and that the leader removes when it has writes to spare.
+// Queue of obsolete keys, which the leader removes when its share of the write rate is not used otherwise.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,19 +10,18 @@
 // Filled by the inbox, the recovery and the writer; emptied by the writer. Last in, first out.
 class CleanupQueue {
  public:
-  // An inbox entry that was processed. Its key is removed on condition of its version: others write it too.
+  // Adds a processed inbox entry. Its key is removed on condition of its version, because other nodes write it, too.
   void add_inbox_entry(JobId id);
-  // Pieces of rows of jobs that are over. No one writes them again, so they are removed without a condition.
+  // Adds chunks of the rows of finished jobs. Chunks are never written again, so they are removed without a condition.
   void add_chunks(const std::vector<std::string>& keys);
-  // Gives back a key that take_... returned and that was not removed.
+  // Returns a key to the queue that was popped but not removed from the store.
   void requeue(const std::string& key);
-  // Both answer an empty string where there is nothing left.
+  // Returns the key of an inbox entry, or an empty string if there is none.
   [[nodiscard]] std::string pop_inbox_key();
-  // A piece of a row of a job that is over.
+  // Returns the key of a chunk of a finished job's row, or an empty string if there is none.
   [[nodiscard]] std::string pop_chunk_key();
-  // Whether there is nothing to remove.
   [[nodiscard]] bool empty() const { return inbox_entries_.empty() && chunk_keys_.empty(); }
-  // Forgets all, when a term begins: the next leader finds the inbox entries again.
+  // Removes all keys when a term begins; the recovery reads the inbox entries again.
   void clear();
 
  private:
--- a/src/service/cloud_service.cpp
+++ b/src/service/cloud_service.cpp
@@ -5,27 +5,29 @@
 namespace martenwall::service {
 
 namespace {
-constexpr double follower_share = 0.15;  // of the cloud's rate limit, for the types; followers share the rest
+constexpr double follower_share =
+    0.15;  // of the cloud's rate limit, for the machine types; followers share the remainder
 constexpr double leader_share = 0.7;
 constexpr Duration forwarding_period = seconds(20);   // after the leader's last forwarded request
-constexpr Duration direct_retry_delay = seconds(10);  // until the cloud is tried directly again
-constexpr Duration peer_timeout = seconds(5);         // per node: its own request may take 3 s, after its turn came
+constexpr Duration direct_retry_delay = seconds(10);  // before the cloud is tried directly again
+constexpr Duration peer_timeout =
+    seconds(5);  // per node: its own request may take 3 s, plus its wait for the rate limit
 constexpr Duration forwarded_timeout = seconds(3);
 constexpr Duration read_timeout = seconds(3);
-constexpr Duration change_timeout = seconds(4);  // also of a page of the list, which is long
+constexpr Duration change_timeout = seconds(4);  // also for a page of the machine list, which is long
 constexpr Duration store_timeout = seconds(1);
 constexpr Duration list_interval = seconds(3);
-constexpr Duration new_term_delay = seconds(0.05);  // lets what else waits for the new leader go first
-constexpr Duration types_interval = seconds(60);    // spot prices move slowly
+constexpr Duration new_term_delay = seconds(0.05);  // lets more urgent requests of a new leader go first
+constexpr Duration types_interval = seconds(60);    // spot prices change slowly
 constexpr Duration unstored_types_interval = seconds(10);
-constexpr Duration types_retry_delay = seconds(2);  // without the types this node cannot serve users
+constexpr Duration types_retry_delay = seconds(2);  // without the machine types this node cannot serve users
 constexpr Duration scaling_interval = seconds(0.25);
 constexpr Duration retry_delay = seconds(1);
-constexpr int max_scale_out_attempts = 6;  // then the list of machines tells what became of the request
+constexpr int max_scale_out_attempts = 6;  // after that the machine list shows whether the request was executed
 constexpr std::size_t max_open_requests = 8;
 constexpr std::size_t max_idle_connections = 4;
 constexpr std::size_t max_response_bytes = 4 * 1024 * 1024;
-constexpr std::uint64_t any_term = 0;  // in place of a term: a request that any node may send
+constexpr std::uint64_t any_term = 0;  // passed as the term of requests that any node may send
 }  // namespace
 
 CloudService::CloudService(Context& ctx, StoreClient& store, PeerService& peers)
@@ -49,8 +51,8 @@
 rt::Task<rt::HttpResult> CloudService::request(std::string method, std::string target, std::string body,
                                                Duration timeout, std::uint64_t term) {
   co_await wait_for_rate();
-  // A change of the fleet may have waited here for its turn for so long that this node lost its leadership and has
-  // gained another by now, whose scheduler knows nothing of it.
+  // A change of the fleet may wait here for the rate limit until this node has lost its leadership and gained another,
+  // whose scheduler does not know the request.
   const auto may_send = [this, term] { return term == any_term || (ctx_.leads(term) && ctx_.has_valid_lease()); };
   if (!may_send()) co_return rt::HttpResult{};
   if (ctx_.now() < direct_retry_at_) {
@@ -63,7 +65,8 @@
   rt::HttpResult result = co_await http_.request(ctx_.settings.cloud, std::move(direct_method),
                                                  std::move(direct_target), std::move(direct_body), timeout);
   if (result.outcome == rt::Outcome::answered || !may_send()) co_return result;
-  // Scale-out requests by their names, and lists of machines to scale in, may be sent twice, by whichever way.
+  // Scale-out requests are identified by name, and scale-in requests list the machines, so both may be sent twice over
+  // either path.
   rt::HttpResult peer_result = co_await request_through_peer(method, std::move(target), std::move(body));
   if (peer_result.outcome != rt::Outcome::answered) co_return result;
   if (ctx_.now() >= direct_retry_at_) ctx_.log->info("cloud unreachable, requests go through other nodes");
@@ -73,7 +76,7 @@
 
 rt::Task<rt::HttpResult> CloudService::request_through_peer(const std::string& method, std::string target,
                                                             std::string body) {
-  // A page must fit a peer's frame.
+  // A page must fit into a peer frame.
   if (const auto at = target.find("page=500"); at != std::string::npos) target.replace(at, 8, "page=300");
   wire::PeerRequest request{wire::PeerVerb::cloud, method + " " + target, std::move(body), {}};
   const auto reply = co_await peers_.call_any_other(std::move(request), peer_timeout);
@@ -98,7 +101,7 @@
   const rt::HttpResult result = co_await request("GET", "/flavors", "", read_timeout, any_term);
   auto types = result.ok() ? wire::parse_types(result.body) : std::nullopt;
   if (!types && ctx_.types.empty()) {
-    // The cloud may be out just when this node starts: another node has kept what it said.
+    // The cloud may be down when this node starts: another node has stored the types that it received.
     const ReadResult stored = co_await store_.get(wire::types_key, store_timeout);
     if (stored.outcome == ReadOutcome::found) types = wire::parse_types(stored.item.value.dump());
   }
@@ -111,7 +114,8 @@
 rt::Task<void> CloudService::store_types() {
   auto row = wire::json::parse(wire::encode_types(ctx_.types));
   if (row.dump().size() > ctx_.limits.value_bytes()) {
-    // It only helps a node that starts while the cloud is out; half of it would have jobs refused for good.
+    // The stored types only help a node that starts during a cloud outage. A truncated list would cause valid jobs to
+    // be rejected permanently.
     ctx_.log->info("machine types not stored, too large for one value types={}", ctx_.types.size());
     types_stored_ = true;
     co_return;
@@ -172,8 +176,8 @@
     co_await ctx_.write_committed.wait(deadline);
     if (!ctx_.has_valid_lease()) continue;
     const auto term = ctx_.term;
-    // Several types and zones at once: one that the cloud is slow to answer must not hold up the others. Detached: each
-    // ends after its attempts, or as soon as this leadership does.
+    // Requests for several types and zones run concurrently, so that a slow answer to one does not delay the others.
+    // Detached: each ends after its attempts, or when this leadership ends.
     for (auto& scale_request : ctx_.scheduler->take_scale_out_requests())
       rt::spawn(scale_out(term, std::move(scale_request)));
     if (scale_in_in_flight_) continue;
@@ -182,7 +186,7 @@
   }
 }
 
-// The request is repeated under the same name until the answer is known: a repeat starts no further machines.
+// Repeats the request under the same name until the answer is known: a repetition starts no further machines.
 rt::Task<void> CloudService::scale_out(std::uint64_t term, ScaleOutRequest scale_request) {
   const std::string body = wire::encode_scale_out(scale_request);
   for (int attempt = 0; attempt < max_scale_out_attempts; ++attempt) {
@@ -205,7 +209,7 @@
     co_await ctx_.loop.sleep(retry_delay);
     if (!ctx_.leads(term)) co_return;
   }
-  // Given up: should it have been executed after all, its machines appear in the list.
+  // Gives up. If the request was executed after all, its machines appear in the machine list.
   ctx_.scheduler->on_scale_out_abandoned(scale_request);
 }
 
--- a/src/service/cloud_service.hpp
+++ b/src/service/cloud_service.hpp
@@ -1,4 +1,4 @@
-// The cloud: machine types, scaling out and in, and the lagging list of machines.
+// The cloud API: machine types, scaling out and in, and the machine list, which lags behind.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,29 +10,29 @@
 
 namespace martenwall::service {
 
-// All requests to the cloud. Any node may read; only the leader scales out and in. Where the cloud does not answer this
-// node, requests go through another node that reaches it: all of them can be repeated.
+// Sends all requests to the cloud. Any node may read; only the leader scales out and in. If the cloud does not answer
+// this node, requests go through another node that reaches it: all of them can be repeated.
 class CloudService {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this service.
   CloudService(Context& ctx, StoreClient& store, PeerService& peers);
 
-  // Keeps the machine types up to date, in the store too; runs as long as the node.
+  // Keeps the machine types up to date, also in the store; runs as long as the node.
   rt::Task<void> run_types();
 
-  // Gives the leader's scheduler the list of machines; runs as long as the node.
+  // Passes the machine list to the leader's scheduler; runs as long as the node.
   rt::Task<void> run_list();
 
-  // Carries out what the leader's scheduler wants of the fleet; runs as long as the node.
+  // Executes the scaling requests of the leader's scheduler; runs as long as the node.
   rt::Task<void> run_scaling();
 
-  // Passes a request of another node on, which does not reach the cloud. `status_no_response` where the cloud does not
-  // answer this node either.
+  // Forwards a request to the cloud for another node that does not reach it. Returns `status_no_response` if the cloud
+  // does not answer this node either.
   rt::Task<wire::PeerReply> on_peer_request(wire::PeerRequest request);
 
  private:
-  // Sends the request directly or through another node. One that changes the fleet is only sent while this node leads
-  // in `term`; for any other the term is `any_term`. `not_sent` where that does not hold any more.
+  // Sends the request directly or through another node. A request that changes the fleet is sent only while this node
+  // leads in `term`; any other request passes `any_term`. Returns `not_sent` if the leadership ended before sending.
   rt::Task<rt::HttpResult> request(std::string method, std::string target, std::string body, Duration timeout,
                                    std::uint64_t term);
   rt::Task<rt::HttpResult> request_through_peer(const std::string& method, std::string target, std::string body);
@@ -48,8 +48,8 @@
   PeerService& peers_;
   rt::HttpClient http_;
   TokenBucket rate_;
-  Time direct_retry_at_{};          // the cloud did not answer this node: until then other nodes are asked first
-  Time forwarded_for_leader_at_{};  // the leader does not reach the cloud and had a request sent by this node
+  Time direct_retry_at_{};          // the cloud did not answer this node: other nodes are tried first until then
+  Time forwarded_for_leader_at_{};  // last request forwarded for a leader that does not reach the cloud
   bool types_stored_ = false;
   bool scale_in_in_flight_ = false;
 };
--- a/src/service/configuration_changes.cpp
+++ b/src/service/configuration_changes.cpp
@@ -10,14 +10,14 @@
 
 using nlohmann::json;
 
-constexpr Duration commit_interval = seconds(0.5);  // between commits: changes that come meanwhile share the next
+constexpr Duration commit_interval = seconds(0.5);  // between commits: changes that arrive meanwhile share the next one
 constexpr Duration commit_timeout = seconds(8);
 constexpr Duration answer_timeout = seconds(9.5);
 constexpr Duration store_timeout = seconds(1);
 constexpr Duration retry_pause = seconds(0.2);
 constexpr std::size_t max_queued_changes = 1000;
 constexpr std::size_t max_batch_size = 16;
-constexpr std::size_t max_change_rows = 32;  // of changes
+constexpr std::size_t max_change_rows = 32;  // older ones are deleted
 constexpr std::size_t max_history_bytes = 48 * 1024;
 constexpr std::size_t max_author_bytes = 80;
 
@@ -99,7 +99,7 @@
   co_return out;
 }
 
-// ---- what a change leads to ----
+// ---- merging changes ----
 
 std::optional<wire::ConfigurationRow> ConfigurationChanges::merge(Batch& batch, const wire::ConfigurationRow& before) {
   wire::ConfigurationRow row = before;
@@ -147,8 +147,9 @@
 
 // ---- committing ----
 
-// Until there is a configuration nobody reads it. Whoever makes the first has every node's word that it reads from now
-// on; the conditions fail where one of them was replaced by a new process, or began to lead, since it was asked.
+// Returns the conditions for creating the first configuration. Nodes do not poll the configuration until one exists, so
+// the node that creates the first one obtains every node's consent to poll from then on. The conditions fail if a node
+// has been replaced by a new process, or has begun to lead, since it was queried.
 rt::Task<ConfigurationChanges::FirstChangeConditions> ConfigurationChanges::first_change_conditions() {
   FirstChangeConditions out;
   if (ctx_.format_version < wire::current_format_version) {
@@ -206,7 +207,7 @@
   if (!current.known) co_return TransactionState::unreadable;
   if (current.key_version == transaction.conditions.front().version) co_return TransactionState::pending;
   if (current.row.transaction_id == transaction.id) co_return TransactionState::committed;
-  // Another came after it, or before: the row of its changes tells.
+  // Another transaction was committed after this one or before it: this version's row of changes shows which.
   const ReadResult result = co_await store_.get(wire::changes_key(transaction.version), store_timeout);
   if (result.outcome == ReadOutcome::failed) co_return TransactionState::unreadable;
   const auto changes = result.outcome == ReadOutcome::found ? wire::decode_changes(result.item.value) : std::nullopt;
@@ -214,7 +215,7 @@
   co_return is_own ? TransactionState::committed : TransactionState::not_committed;
 }
 
-// The same transaction again and again until it is known what became of it: its conditions let at most one through.
+// Repeats the same transaction until its outcome is known: its conditions let at most one attempt succeed.
 rt::Task<ConfigurationChanges::Outcome> ConfigurationChanges::commit_transaction(Transaction transaction,
                                                                                  Time deadline) {
   bool uncertain = false;
@@ -230,8 +231,8 @@
       const TransactionState state = co_await read_transaction_state(transaction);
       if (state == TransactionState::committed) co_return Outcome::committed;
       if (state == TransactionState::not_committed) co_return Outcome::not_committed;
-      // Its first condition holds still, others do not: none of its tries can come through any more. Where nothing
-      // could be read, the conflict may be with its own first try.
+      // The first condition still holds but another one does not, so no further attempt can succeed. If the state
+      // could not be read, the conflict may be with an earlier attempt of this transaction.
       if (state == TransactionState::pending && result.outcome == TxnOutcome::conflict)
         co_return Outcome::not_committed;
     }
@@ -285,7 +286,7 @@
     const auto row = wire::decode_changes(item.value);
     if (row) changes.insert(changes.end(), row->changes.begin(), row->changes.end());
   }
-  std::ranges::reverse(changes);  // the newest first
+  std::ranges::reverse(changes);  // newest first
   json entries = json::array();
   std::size_t bytes = 0;
   for (const auto& c : changes) {
--- a/src/service/configuration_changes.hpp
+++ b/src/service/configuration_changes.hpp
@@ -1,5 +1,4 @@
-// Changes of the operators' configuration: checked, committed by compare and swap, several together where they come in
-// a burst.
+// Changes of the operators' configuration: validated, committed by compare-and-swap, and batched during bursts.
 #pragma once
 #include <deque>
 #include <memory>
@@ -12,52 +11,53 @@
 
 namespace martenwall::service {
 
-// Serves on every node: the store decides between nodes that change the configuration at the same time.
+// Runs on every node: the store arbitrates between nodes that change the configuration at the same time.
 class ConfigurationChanges {
  public:
   ConfigurationChanges(Context& ctx, StoreClient& store, PeerService& peers, ConfigurationService& configuration)
       : ctx_(ctx), store_(store), peers_(peers), configuration_(configuration), change_queued_(ctx.loop) {}
-  // Commits queued changes, a batch at a time. Never returns; started once by the node.
+  // Commits queued changes batch by batch. Never returns; started once by the node.
   rt::Task<void> run();
-  // Answers an operator's command or another node. A change is answered once its outcome is known, within 9.5 s:
-  // status 200 applied (or nothing to change), 400 invalid, 409 expected another version, 503 not applied, 504 not
-  // known whether it was.
+  // Answers an operator's command or another node. A change is answered once its outcome is known, within 9.5 s: status
+  // 200 applied (or nothing to change), 400 invalid, 409 another version than the expected one, 503 not applied, 504
+  // unknown whether it was applied.
   rt::Task<wire::PeerReply> on_peer_request(wire::PeerRequest request);
 
  private:
-  // A change that its operator waits for.
+  // A change whose operator waits for the answer.
   struct PendingChange {
     PendingChange(rt::Loop& loop, wire::ConfigurationRequest r) : request(std::move(r)), answered(loop) {}
     wire::ConfigurationRequest request;
     std::optional<wire::PeerReply> reply;
     rt::Event answered;
-    std::optional<ConfigurationVersion> version;  // that it gets by the transaction in flight
+    std::optional<ConfigurationVersion> version;  // assigned by the transaction in flight
   };
   using Batch = std::vector<std::shared_ptr<PendingChange>>;
   struct Transaction {
     std::vector<wire::Condition> conditions;
     std::vector<wire::StoreOp> operations;
-    ConfigurationVersion version;  // that it leads to
-    std::string id;                // by which it is recognised where its answer was lost
+    ConfigurationVersion version;  // that the transaction creates
+    std::string id;                // identifies the transaction if its answer is lost
   };
-  // What is in the store now.
+  // The configuration as read from the store.
   struct Snapshot {
-    bool known = false;      // false: no answer, or a row that cannot be read
+    bool known = false;      // false: no answer, or the row cannot be decoded
     KeyVersion key_version;  // 0: there is no configuration
     wire::ConfigurationRow row;
   };
-  // The conditions under which a first configuration comes to all nodes' knowledge; or why it cannot be made now.
+  // The conditions that guarantee that all nodes learn of a first configuration, or why it cannot be created at the
+  // moment.
   struct FirstChangeConditions {
     std::vector<wire::Condition> conditions;
-    std::string refusal;  // empty: it can be made
+    std::string refusal;  // empty: it can be created
   };
   enum class Outcome { committed, not_committed, uncertain };
-  // What the store shows of a transaction whose answer was lost.
+  // What the store shows about a transaction whose answer was lost.
   enum class TransactionState {
     committed,
-    not_committed,  // it was not carried out and never will be
-    pending,        // it was not carried out, and may be yet
-    unreadable,     // no answer that tells
+    not_committed,  // not executed, and never will be
+    pending,        // not executed, but may still be
+    unreadable,     // no usable answer from the store
   };
 
   rt::Task<wire::PeerReply> apply(wire::ConfigurationRequest request);
@@ -66,7 +66,7 @@
   rt::Task<void> commit(Batch batch);
   rt::Task<Snapshot> read();
   rt::Task<FirstChangeConditions> first_change_conditions();
-  // The row with all changes of the batch that are valid; the others are answered.
+  // Returns the row with all valid changes of the batch and answers the other changes; nothing if no change remains.
   std::optional<wire::ConfigurationRow> merge(Batch& batch, const wire::ConfigurationRow& before);
   Transaction transaction_for(const Batch& batch, const Snapshot& before, wire::ConfigurationRow after);
   rt::Task<Outcome> commit_transaction(Transaction transaction, Time deadline);
--- a/src/service/configuration_service.cpp
+++ b/src/service/configuration_service.cpp
@@ -7,7 +7,7 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration read_interval = seconds(1.5);  // a change is known everywhere within 2 s
+constexpr Duration read_interval = seconds(1.5);  // a change reaches all nodes within 2 s
 constexpr Duration read_retry_delay = seconds(0.3);
 constexpr Duration read_timeout = seconds(1);
 constexpr Duration version_check_interval = seconds(0.05);
@@ -15,7 +15,8 @@
 }  // namespace
 
 rt::Task<void> ConfigurationService::run() {
-  // In this order: whoever makes the first change demands that no node has stated its version meanwhile.
+  // The order matters: the node that creates the first configuration requires that no node has published its version
+  // since.
   while (!ctx_.version_published) co_await ctx_.loop.sleep(version_check_interval);
   for (;;) {
     const bool known = co_await read(true);
@@ -33,20 +34,20 @@
   }
 }
 
-rt::Task<bool> ConfigurationService::read(bool creation_excluded) {
+rt::Task<bool> ConfigurationService::read(bool creation_needs_this_node) {
   const Time sent = ctx_.loop.update_time();
   const ReadResult result = co_await store_.get_unthrottled(wire::configuration_key, read_timeout);
   if (result.outcome == ReadOutcome::failed) co_return false;
   const bool known = ctx_.configuration.version > ConfigurationVersion{0};
   if (result.outcome == ReadOutcome::absent) {
     if (known) log_rejection("it is gone from the state service");
-    if (!known) ctx_.validity.on_none_found(sent, creation_excluded);
+    if (!known) ctx_.validity.on_none_found(sent, creation_needs_this_node);
     co_return !known;
   }
   const auto row = wire::decode_configuration(result.item.value);
   if (!row) log_rejection("its row cannot be read");
   if (!row || (row->version > ctx_.configuration.version && !adopt(*row))) {
-    // There is one that this node cannot follow: it decides nothing until it can.
+    // This node cannot apply the stored configuration and makes no decisions until it can.
     ctx_.validity.start_following();
     co_return false;
   }
--- a/src/service/configuration_service.hpp
+++ b/src/service/configuration_service.hpp
@@ -1,5 +1,6 @@
-// Follows the operators' configuration in the state service, and tells what this node decides by. Nothing of it is
-// asked for until there is a configuration or another node wants to make the first (docs/safety.md, "Configuration").
+// Follows the operators' configuration in the state service and reports the version in force at this node. The
+// configuration is not polled until it exists or another node wants to create the first version (docs/safety.md,
+// "Configuration").
 #pragma once
 #include "service/context.hpp"
 #include "service/store_client.hpp"
@@ -8,20 +9,20 @@
 
 namespace martenwall::service {
 
-// Keeps `Context::configuration`, `policy` and `validity`; a leader's scheduler is told of each new version.
+// Maintains `Context::configuration`, `policy` and `validity`, and passes each new version to a leader's scheduler.
 class ConfigurationService {
  public:
   ConfigurationService(Context& ctx, StoreClient& store)
       : ctx_(ctx), store_(store), file_policy_(ctx.policy), follow_requested_(ctx.loop) {}
-  // Reads the configuration again and again. Never returns; started once by the node.
+  // Polls the configuration. Never returns; started once by the node.
   rt::Task<void> run();
-  // Reads the newest version; false where that cannot be known now. `creation_excluded`: where there is none, none can
-  // come without this node's word.
-  rt::Task<bool> read(bool creation_excluded);
-  // From now on this node reads it again and again; answered once it has.
+  // Reads the newest version; false if it is unknown after this read. `creation_needs_this_node`: if there is no
+  // configuration, none can be created without this node's consent.
+  rt::Task<bool> read(bool creation_needs_this_node);
+  // Starts polling the configuration; true if the first read succeeded.
   rt::Task<bool> follow();
-  rt::Task<wire::PeerReply> report();  // `get`
-  // Throws config::SettingsError where this node could not follow it.
+  rt::Task<wire::PeerReply> report();  // Answers the request `get`.
+  // Throws config::SettingsError if this node could not apply the document.
   void require_valid(const nlohmann::json& document) const;
 
  private:
@@ -31,9 +32,9 @@
 
   Context& ctx_;
   StoreClient& store_;
-  const Policy file_policy_;  // as the properties file has it
+  const Policy file_policy_;  // from the properties file
   rt::Event follow_requested_;
-  std::string logged_rejection_;  // as last logged
+  std::string logged_rejection_;  // last logged reason
 };
 
 }  // namespace martenwall::service
--- a/src/service/context.cpp
+++ b/src/service/context.cpp
@@ -7,9 +7,9 @@
 
 std::uint32_t Context::v1_row_size_for(std::size_t value_bytes) {
   constexpr std::size_t bytes_per_task = 60;
-  constexpr std::size_t row_overhead = 1200;
-  const auto value = std::max(value_bytes, 2 * row_overhead);
-  return static_cast<std::uint32_t>(std::min<std::size_t>(400, (value - row_overhead) / bytes_per_task));
+  constexpr std::size_t row_overhead_bytes = 1200;
+  const auto usable_bytes = std::max(value_bytes, 2 * row_overhead_bytes);
+  return static_cast<std::uint32_t>(std::min<std::size_t>(400, (usable_bytes - row_overhead_bytes) / bytes_per_task));
 }
 
 std::int64_t Context::wall_ms() {
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -1,4 +1,4 @@
-// What the services of one node share. Everything runs on the one loop's thread.
+// State shared by the services of one node. Everything runs on the thread of the node's event loop.
 #pragma once
 #include <spdlog/logger.h>
 
@@ -21,6 +21,7 @@
 
 namespace martenwall::service {
 
+// Owned by the node; outlives all services, which hold a reference to it.
 struct Context {
   Context(rt::Loop& event_loop, config::Settings node_settings, Policy initial_policy,
           std::shared_ptr<spdlog::logger> logger)
@@ -43,55 +44,61 @@
   config::Settings settings;
   Policy policy;
   std::shared_ptr<spdlog::logger> log;
-  Configuration configuration;     // as far as this node knows; `policy` is its policy
-  ConfigurationValidity validity;  // of it
-  bool version_published = false;  // this node's version is in the store
+  Configuration configuration;     // latest version known to this node; `policy` is its policy
+  ConfigurationValidity validity;  // of `configuration`
+  bool version_published = false;  // this node's version is recorded in the store
   StoreLimits limits;
-  std::uint64_t format_version = 1;  // that all nodes are known to have reached
-  std::uint32_t v1_row_size;         // task indices in a row by number; once the level was raised, as stored with it
+  std::uint64_t format_version = 1;  // in force: all nodes are known to support it
+  std::uint32_t v1_row_size;         // task indices per v1 row; once the format version is raised, as stored with it
   Leadership leadership;
-  LeaderReachability reachability;       // do workers reach this node?
-  RedirectedWorkers redirected_workers;  // workers that were sent to the leader
-  std::unique_ptr<Scheduler> scheduler;  // while this node leads
-  std::uint64_t term = 0;                // changes whenever leadership begins or ends
-  std::string leader;                    // node that holds the key, as far as known
+  LeaderReachability reachability;       // whether workers reach this node
+  RedirectedWorkers redirected_workers;  // workers that were redirected to the leader
+  std::unique_ptr<Scheduler> scheduler;  // set while this node leads
+  std::uint64_t term = 0;                // incremented when a leadership begins or ends
+  std::string leader;                    // last known holder of the leader key; empty if none
   std::vector<MachineType> types;
   FinishedJobCache finished_jobs;
-  Time last_renewal_sent_at{};                      // when the last renewal that was answered, or failed, was sent
-  Time store_answered_at{};                         // last answer of the state service
-  Time leader_answered_at{};                        // last answer of the leader to a forwarded request
-  Time leader_link_failed_at{Duration::min() / 2};  // the leader did not answer over its peer link
-  Time last_inbox_entry_at{Duration::min() / 2};    // another node left a note for this leader
-  rt::Event cycle_due;                              // a round is due
-  rt::Event writes_due;                             // changes wait for the store
-  rt::Event write_committed;                        // a generation was committed
+  Time last_renewal_sent_at{};                      // send time of the last completed lease renewal, successful or not
+  Time store_answered_at{};                         // last response of the state service
+  Time leader_answered_at{};                        // last response of the leader to a forwarded request
+  Time leader_link_failed_at{Duration::min() / 2};  // last failed request over the leader's peer link
+  Time last_inbox_entry_at{Duration::min() / 2};    // last inbox entry of another node, if this node leads
+  rt::Event cycle_due;                              // a scheduling cycle is due
+  rt::Event writes_due;                             // changes are ready to be written to the store
+  rt::Event write_committed;                        // a transaction was committed
   rt::Event leader_changed;
   std::mt19937_64 random;
   metrics::Metrics metrics;
 
   [[nodiscard]] Time now() const { return loop.now(); }
-  // The state service answered lately; followers hear of it every 2 s at least.
+  // Whether the state service responded within the last 3.5 s. Followers receive a response at least every 2 s, since
+  // they hold a watch for that long.
   [[nodiscard]] bool reaches_store() const { return now() - store_answered_at < seconds(3.5); }
+  // Whether this node leads and `expected_term` is still the current term.
   [[nodiscard]] bool leads(std::uint64_t expected_term) const { return term == expected_term && scheduler != nullptr; }
-  // Read anew: the process may have stood still since the loop last looked at the clock, and what binds others must
-  // not rest on the moment before.
+  // Whether this node leads with a lease that is valid at this moment. Updates the loop's clock: the process may have
+  // stalled since the last reading, and decisions that bind other nodes must not rely on a stale time.
   [[nodiscard]] bool has_valid_lease() const {
     return scheduler != nullptr && leadership.has_valid_lease(loop.update_time());
   }
-  // What rests on the operators' configuration may be decided.
+  // Whether decisions that depend on the operators' configuration are allowed.
   [[nodiscard]] bool may_decide() const { return validity.may_decide(loop.update_time()); }
-  // Tasks may be placed and started.
+  // Whether tasks may be placed and started.
   [[nodiscard]] bool may_start() const { return has_valid_lease() && may_decide(); }
-  // Stood still since its lease was last looked at: another node may lead by now.
+  // Whether the process stalled after the last lease renewal was sent: another node may have become the leader.
   [[nodiscard]] bool resumed_after_stall() const { return last_renewal_sent_at < loop.last_stall().ended; }
+  // Wakes the writer and the scheduling cycle if the scheduler has work for them.
   void notify_pending_work() {
     if (scheduler == nullptr) return;
     if (scheduler->has_writes(false, loop.now())) writes_due.notify();
     if (scheduler->needs_cycle()) cycle_due.notify();
   }
+  // Whether another node is known to hold the leader key.
   [[nodiscard]] bool has_other_leader() const { return !leader.empty() && leader != settings.node; }
+  // Milliseconds since the Unix epoch.
   static std::int64_t wall_ms();
-  // As versions of level 1 reckon it, to the number: another size would give their rows another meaning.
+  // Returns the number of task indices per v1 row, exactly as releases with format version 1 compute it: v1 rows are
+  // keyed by number, so a different size would assign their contents to other tasks.
   static std::uint32_t v1_row_size_for(std::size_t value_bytes);
 };
 
--- a/src/service/dependency_checker.cpp
+++ b/src/service/dependency_checker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration compare_timeout = seconds(1);  // per transaction, of the 5 s that a user waits
+constexpr Duration compare_timeout = seconds(1);  // per transaction; a user waits 5 s
 
 void add_keys(std::vector<std::string>& keys, const JobId& id) {
   keys.push_back(wire::job_key(id, false));
@@ -73,9 +73,9 @@
   co_return result;
 }
 
-// Of a job that was found at none of its active keys. The keys of one job stand together in the comparison, but a
-// transaction may end between them: a job that moves from the first key to the last meanwhile is then found at neither.
-// So what is not there is asked for once more before it counts as never accepted.
+// Reads the progress of a job for which the comparison found no active key. The keys of one job are adjacent in the
+// comparison, but may be split over two transactions: a job that moves from its first key to its last one in between is
+// found at neither. A missing key is therefore read again before the job counts as never accepted.
 rt::Task<DependencyChecker::Progress> DependencyChecker::read_progress(JobId id) {
   JobLookup end = co_await reader_.read_final(id);
   if (end.existence == Existence::unknown) co_return Progress::unknown;
@@ -88,7 +88,8 @@
   co_return end.exists() && end.status.phase == JobPhase::done ? Progress::done : Progress::open;
 }
 
-// Which of the keys exist; as many at a time as a transaction may name, which may turn out to be fewer than before.
+// Returns which of the keys exist. Compares as many at a time as a transaction may name; that limit may shrink between
+// transactions.
 rt::Task<KeyComparison> DependencyChecker::find_existing(std::vector<std::string> keys) {
   KeyComparison merged{KeyComparison::Outcome::answered, {}};
   auto next = keys.cbegin();
--- a/src/service/dependency_checker.hpp
+++ b/src/service/dependency_checker.hpp
@@ -1,4 +1,4 @@
-// Whether the jobs that a new job depends on were accepted, and which of them are not done yet.
+// Checks whether the jobs that a new job depends on were accepted, and which of them are not done yet.
 #pragma once
 #include <optional>
 #include <set>
@@ -12,34 +12,34 @@
 
 namespace martenwall::service {
 
-// The result of a check; `open_dependencies` is meaningful for `known` only.
+// The result of a check; `open_dependencies` is valid for `known` only.
 struct DependencyCheck {
   // What the check found.
   enum class Outcome {
     known,           // all dependencies were accepted
-    already_stored,  // the job itself is in the store
-    never_accepted,  // one of the dependencies is not
+    already_stored,  // the new job itself is in the store
+    never_accepted,  // a dependency was never accepted
     unknown,         // the store did not answer
   };
   Outcome outcome = Outcome::unknown;
-  std::vector<JobId> open_dependencies;  // not known to be done
+  std::vector<JobId> open_dependencies;  // those not known to be done
 };
 
 // Used by submissions before a dependent job is stored.
 class DependencyChecker {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this checker.
   DependencyChecker(Context& ctx, StoreClient& store, JobRowStore& job_rows, JobReader& reader);
 
-  // `as_leader`: this node leads, so that the scheduler's memory counts for jobs that are not over. It reads the store
-  // for the rest, and may have lost the leadership when it returns.
+  // Checks the dependencies of `spec`. `as_leader`: this node leads, so the scheduler's memory is authoritative for
+  // unfinished jobs. Other jobs are read from the store; the leadership may have ended when the check returns.
   rt::Task<DependencyCheck> check(JobSpec spec, bool as_leader);
 
  private:
-  // Dependencies that are not done, by where they are known from.
+  // Dependencies that are not done, by the source that knows them.
   struct Partition {
-    std::vector<JobId> open;        // accepted, by this node's memory
-    std::vector<JobId> unresolved;  // not in this node's memory: the store is asked
+    std::vector<JobId> open;        // accepted, according to this node's memory
+    std::vector<JobId> unresolved;  // not in this node's memory: read from the store
   };
   enum class Progress { done, open, never_accepted, unknown };
 
--- a/src/service/dependency_lookups.cpp
+++ b/src/service/dependency_lookups.cpp
@@ -9,9 +9,9 @@
 namespace {
 constexpr Duration request_timeout = seconds(1);
 constexpr Duration lookup_interval = seconds(0.1);
-constexpr Duration failed_lookup_pause = seconds(0.2);  // an outage, or no request to spare
-constexpr Duration not_found_pause = seconds(1);        // a job that is to be found at neither key nor among those over
-constexpr std::size_t min_range_lookup = 3;  // so many ends are read in runs of neighbours rather than one by one
+constexpr Duration failed_lookup_pause = seconds(0.2);  // an outage, or this node's share of requests is exhausted
+constexpr Duration not_found_pause = seconds(1);        // the job is at neither job key and not among the finished ones
+constexpr std::size_t min_range_lookup = 3;  // jobs; as many or more are read as key ranges, fewer one by one
 }  // namespace
 
 rt::Task<void> DependencyLookups::run(std::uint64_t term) {
@@ -32,7 +32,7 @@
   }
 }
 
-// Leaves in `ids` those that the cache does not know.
+// Answers lookups of cached jobs and removes these jobs from `ids`.
 void DependencyLookups::answer_from_cache(std::vector<JobId>& ids) {
   std::erase_if(ids, [&](const JobId& id) {
     const auto finished = ctx_.finished_jobs.find(id);
@@ -60,8 +60,8 @@
   }
 }
 
-// Ends lie in the order of their keys: a page tells of all that are asked for between its first and its last. Returns
-// the index of the first id that it does not tell of.
+// Pages are ordered by key, so a page answers for each requested job between its first and its last key. Returns the
+// index of the first job ID that the page does not cover.
 std::size_t DependencyLookups::apply_page(std::uint64_t term, const std::vector<JobId>& ids, std::size_t first,
                                           const wire::StorePage& page) {
   std::map<std::string, const wire::json*> final_items;
@@ -76,7 +76,7 @@
     if (final_job) {
       on_end_found(ids[next], *final_job);
     } else {
-      rt::spawn(adopt_unfinished(term, ids[next]));  // ends after one lookup, or with the term
+      rt::spawn(adopt_unfinished(term, ids[next]));  // returns after one lookup or with the term
     }
   }
   return next;
@@ -90,7 +90,7 @@
     on_end_found(id, *final_job);
     ctx_.notify_pending_work();
   } else if (read.outcome == ReadOutcome::absent) {
-    rt::spawn(adopt_unfinished(term, id));  // ends after one lookup, or with the term
+    rt::spawn(adopt_unfinished(term, id));  // returns after one lookup or with the term
   } else {
     ctx_.scheduler->retry_lookup(id);
     co_await ctx_.loop.sleep(failed_lookup_pause);
@@ -102,7 +102,7 @@
   ctx_.scheduler->on_dependency_end_found(id, final_job.phase, ctx_.now());
 }
 
-// The job is not over: accepted at another node a moment ago, or its end comes between the two looks.
+// Handles a job that has no final state: another node has just accepted it, or it finishes between the two reads.
 rt::Task<void> DependencyLookups::adopt_unfinished(std::uint64_t term, JobId id) {
   JobRowStore::Read read = co_await job_rows_.read(id);
   if (!ctx_.leads(term)) co_return;
--- a/src/service/dependency_lookups.hpp
+++ b/src/service/dependency_lookups.hpp
@@ -1,4 +1,4 @@
-// Looks up the ends of jobs that others depend on and that the scheduler does not know.
+// Looks up the final states of jobs that others depend on and that the scheduler does not know.
 #pragma once
 #include <vector>
 
@@ -9,13 +9,14 @@
 
 namespace martenwall::service {
 
-// All its coroutines end where they find, after a suspension, that their term no longer leads.
+// Every coroutine returns if its term is found to be over after a suspension.
 class DependencyLookups {
  public:
   DependencyLookups(Context& ctx, StoreClient& store, JobRowStore& job_rows, JobAdopter& adopter)
       : ctx_(ctx), store_(store), job_rows_(job_rows), adopter_(adopter) {}
 
-  // Answers what the scheduler asks for until `term` is over. A lookup that fails is handed back to it.
+  // Executes the lookups that the scheduler requests until `term` is over. A failed lookup is returned to it for a
+  // retry.
   rt::Task<void> run(std::uint64_t term);
 
  private:
--- a/src/service/fenced_transaction.cpp
+++ b/src/service/fenced_transaction.cpp
@@ -7,10 +7,10 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t max_txn_bytes = 48 * 1024;       // of the 64 KiB, the rest is for conditions and framing
+constexpr std::size_t max_txn_bytes = 48 * 1024;       // of 64 KiB; the rest is for conditions and framing
 constexpr std::size_t operation_overhead_bytes = 100;  // framing of one operation and its condition
 
-// The key counts twice: it stands in the operation and in its condition.
+// Counts each key twice: it occurs in the operation and in its condition.
 std::size_t estimated_bytes(const std::vector<wire::StoreOp>& operations) {
   std::size_t bytes = 0;
   for (const auto& op : operations) {
@@ -68,7 +68,7 @@
          transaction.bytes + bytes <= max_txn_bytes;
 }
 
-// What is really encoded is measured: names may be longer than a row's size was reckoned with.
+// Measures the encoded value: names may be longer than the estimate behind the row size assumes.
 bool TransactionBuilder::fits_value(const RowWrite& row, const std::vector<wire::StoreOp>& operations) {
   const auto limit = ctx_.limits.value_bytes();
   const bool fits = std::ranges::all_of(
@@ -96,7 +96,7 @@
   return operations;
 }
 
-// Nothing rests on records of machines: what does not fit is left out, cached images first.
+// Machine records are not essential, so records that do not fit are truncated: cached images first, then machines.
 wire::json TransactionBuilder::encode_machines_row(std::vector<MachineRecord> records) const {
   for (;;) {
     auto row = wire::encode_machines(records);
@@ -117,7 +117,8 @@
   }
 }
 
-// Every value carries its transaction's id, so that a transaction whose answer was lost can be recognised.
+// Adds the transaction's ID to each value, so that a transaction whose response was lost can be recognized in the
+// store.
 void TransactionBuilder::stamp_transaction_id(FencedTransaction& transaction) {
   const auto id = std::to_string(ctx_.leadership.token().value()) + "." + std::to_string(++last_serial_);
   for (auto& op : transaction.operations) {
--- a/src/service/fenced_transaction.hpp
+++ b/src/service/fenced_transaction.hpp
@@ -1,4 +1,4 @@
-// The leader's transactions: which rows go together, and under which conditions.
+// Composes the leader's transactions: which rows they combine and under which conditions they commit.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -10,25 +10,26 @@
 
 namespace martenwall::service {
 
-// A compare-and-swap whose first condition is that the leader key stands at this leader's fencing token, and which
-// names the version of every key that it writes.
+// A compare-and-swap transaction. Its first condition is that the version of the leader key equals this leader's
+// fencing token; further conditions state the expected version of each key that it writes, except for chunks removed by
+// cleanup.
 struct FencedTransaction {
   std::vector<wire::Condition> conditions;
   std::vector<wire::StoreOp> operations;
-  std::vector<RowWrite> rows;  // what the scheduler is told once it is committed
+  std::vector<RowWrite> rows;  // reported to the scheduler after the commit
   std::size_t bytes = 0;       // estimated size of the operations
 };
 
-// Builds transactions within the store's limits. Used only while this node leads; nothing here suspends.
+// Builds transactions within the store's limits. Used only while this node leads; no member function suspends.
 class TransactionBuilder {
  public:
-  // Both outlive this object.
+  // Both must outlive this object.
   TransactionBuilder(Context& ctx, const KeyVersions& versions) : ctx_(ctx), versions_(versions) {}
 
-  // All rows, in as few transactions as the limits allow. Rows that do not fit a value are handed back to the scheduler
-  // to be split, and left out.
+  // Packs the rows into transactions in their order, as many per transaction as the limits allow. Omits rows that
+  // exceed the value size and makes the scheduler split them.
   std::vector<FencedTransaction> build(std::vector<RowWrite> rows);
-  // Removes as many of the queued keys as fit into one transaction.
+  // Takes as many keys from the queue as fit into one transaction that removes them.
   FencedTransaction build_cleanup(CleanupQueue& queue) const;
 
  private:
@@ -43,7 +44,7 @@
 
   Context& ctx_;
   const KeyVersions& versions_;
-  std::uint64_t last_serial_ = 0;  // of transaction ids; never starts anew while the process lives
+  std::uint64_t last_serial_ = 0;  // of transaction IDs; never reset during the lifetime of the process
 };
 
 }  // namespace martenwall::service
