--- a/src/service/fenced_writer.cpp
+++ b/src/service/fenced_writer.cpp
@@ -6,23 +6,23 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t max_in_flight = 4;  // transactions; more would only wait for this node's share of writes
+constexpr std::size_t max_in_flight = 4;  // transactions; more would only queue for this node's share of the write rate
 constexpr Duration request_timeout = seconds(1);
 constexpr Duration transaction_timeout = seconds(1.5);
 constexpr Duration transaction_retry_pause = seconds(0.1);
 constexpr Duration read_retry_pause = seconds(0.2);
-constexpr Duration too_large_pause = seconds(0.05);          // before rows that were divided are written
-constexpr Duration deferrable_poll_interval = seconds(0.2);  // between two looks for deferrable writes
+constexpr Duration too_large_pause = seconds(0.05);          // before the split rows are written
+constexpr Duration deferrable_poll_interval = seconds(0.2);  // between checks for deferrable writes
 }  // namespace
 
-// Transactions in flight at the same time touch different rows, so their order does not matter.
+// Concurrent transactions write different rows, so their order does not matter.
 rt::Task<void> FencedWriter::run(std::uint64_t term) {
   while (ctx_.leads(term)) {
     const bool deferrable = in_flight_ <= 1 && store_.has_unused_write_rate();
     const bool has_capacity = in_flight_ < max_in_flight;
     if (has_capacity) start_transactions(term, deferrable);
     if (has_capacity && deferrable && !cleanup_.empty()) start_cleanup(term);
-    // A transaction may have ended the term already, before its first suspension.
+    // A spawned transaction may have ended the term before its first suspension.
     if (!ctx_.leads(term)) co_return;
     if (in_flight_ < max_in_flight && ctx_.scheduler->has_writes(false, ctx_.now())) continue;
     const Time until = ctx_.now() + deferrable_poll_interval;
@@ -35,19 +35,19 @@
   auto rows = ctx_.scheduler->take_writes(ctx_.limits.txn_ops() / 2, deferrable, ctx_.now());
   for (auto& transaction : builder_.build(std::move(rows))) {
     ++in_flight_;
-    rt::spawn(write_transaction(term, std::move(transaction)));  // ends with the term at the latest
+    rt::spawn(write_transaction(term, std::move(transaction)));  // returns when the term ends, or earlier
   }
 }
 
 void FencedWriter::start_cleanup(std::uint64_t term) {
   ++in_flight_;
-  rt::spawn(write_transaction(term, builder_.build_cleanup(cleanup_)));  // ends with the term at the latest
+  rt::spawn(write_transaction(term, builder_.build_cleanup(cleanup_)));  // returns when the term ends, or earlier
 }
 
 rt::Task<void> FencedWriter::write_transaction(std::uint64_t term, FencedTransaction transaction) {
   CommitOutcome outcome = CommitOutcome::stored;
   if (!transaction.operations.empty()) outcome = co_await commit(term, transaction);
-  // `in_flight_` counts another term's transactions where this one is over.
+  // If this term is over, `in_flight_` counts the transactions of another one.
   if (ctx_.term != term) co_return;
   --in_flight_;
   switch (outcome) {
@@ -55,7 +55,7 @@
       on_stored(transaction.rows);
       break;
     case CommitOutcome::too_large:
-      // Not the end of a leadership: every successor would meet the same limit. The rows are divided again.
+      // Does not step down, since every successor would reach the same limit. Splits the rows again.
       apply_row_size_limits(ctx_);
       ctx_.scheduler->requeue_writes(transaction.rows, too_large_pause, ctx_.now());
       break;
@@ -75,12 +75,12 @@
   ctx_.scheduler->on_rows_stored(rows, ctx_.now());
   ctx_.write_committed.notify();
   ctx_.writes_due.notify();
-  ctx_.notify_pending_work();  // the end of one job lets others start
+  ctx_.notify_pending_work();  // a finished job may allow others to start
 }
 
 rt::Task<void> FencedWriter::on_not_stored(std::uint64_t term, FencedTransaction transaction) {
   if (transaction.rows.empty()) {
-    // Inbox entries are others' keys too: one that was written anew meanwhile says nothing of this leadership.
+    // Other nodes write inbox entries, too: a conflict on one does not imply that this node has lost the leadership.
     const bool leads = co_await still_leads(term);
     if (ctx_.term != term) co_return;
     if (leads) {
@@ -88,12 +88,13 @@
       co_return;
     }
   }
-  // Another leader, or a lost picture of the keys: both mean starting over from the store.
+  // Another node leads, or the known key versions are wrong: both require a recovery from the store.
   election_.step_down(StepDownReason::transaction_conflict);
 }
 
-// Tries until the outcome is known. The same conditions hold each time, so at most one try is applied. One that was
-// called too large is not applied later either, since limits do not rise; but an earlier try may have been.
+// Retries until the outcome is known. All attempts have the same conditions, so at most one is applied. An attempt that
+// was rejected as too large is not applied later, since limits never rise; but an earlier attempt may have been
+// applied.
 rt::Task<FencedWriter::CommitOutcome> FencedWriter::commit(std::uint64_t term, const FencedTransaction& transaction) {
   bool uncertain = false;
   const Time started_at = ctx_.now();
@@ -125,7 +126,8 @@
   co_return CommitOutcome::not_stored;
 }
 
-// The store has rejected the transaction; where an earlier try got no answer, that one may be the reason.
+// Resolves a rejection by the store. If an earlier attempt got no response, that attempt may have been applied and be
+// the cause of the rejection.
 rt::Task<FencedWriter::CommitOutcome> FencedWriter::resolve_rejection(std::uint64_t term,
                                                                       const FencedTransaction& transaction,
                                                                       TxnOutcome answer, bool uncertain) {
@@ -138,8 +140,9 @@
   co_return too_large ? CommitOutcome::too_large : CommitOutcome::not_stored;
 }
 
-// Whether a transaction whose answer was lost was applied after all; if so its versions are taken over. That a key is
-// gone proves nothing: a later leader may have removed it, and ended the job in another way.
+// Returns whether a transaction whose response was lost was applied; if so, records its versions. Checks
+// first that this node still leads, because the absence of a key alone proves nothing: a later leader may have removed
+// it and ended the job in another way.
 rt::Task<bool> FencedWriter::was_applied(std::uint64_t term, const FencedTransaction& transaction) {
   const bool leads = co_await still_leads(term);
   if (!leads) co_return false;
@@ -162,7 +165,7 @@
   co_return leader.item.version.value() == ctx_.leadership.token().value();
 }
 
-// A read that is repeated until the store answers, or the term is over.
+// Repeats a read until the store responds or the term is over.
 rt::Task<ReadResult> FencedWriter::read_until_answered(std::uint64_t term, std::string key) {
   ReadResult read;
   while (ctx_.term == term) {
@@ -184,7 +187,7 @@
   }
 }
 
-// Twice for each uncertain transaction: that its outcome is not known, and what became of it.
+// Called twice per uncertain transaction: when its outcome becomes unknown and when it is resolved.
 void FencedWriter::log_uncertain(const FencedTransaction& transaction, std::string_view outcome) const {
   ctx_.log->info("transaction uncertain key={} more_keys={} outcome={}", transaction.operations.front().key,
                  transaction.operations.size() - 1, outcome);
--- a/src/service/fenced_writer.hpp
+++ b/src/service/fenced_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the leader's rows in fenced transactions, and finds out what became of those whose answer was lost.
+// Writes the leader's rows in fenced transactions and resolves the outcome of those whose response was lost.
 #pragma once
 #include <string>
 #include <string_view>
@@ -14,7 +14,7 @@
 
 namespace martenwall::service {
 
-// All its coroutines belong to a term and end, without a further write, once `Context::term` has moved on.
+// Every coroutine belongs to a term and returns without a further write once `Context::term` has changed.
 class FencedWriter {
  public:
   FencedWriter(Context& ctx, StoreClient& store, KeyVersions& versions, CleanupQueue& cleanup, LeaderElection& election)
@@ -25,10 +25,10 @@
         election_(election),
         builder_(ctx, versions) {}
 
-  // Forgets the transactions of the last term; called before `run` of the next.
+  // Resets the count of transactions in flight; called before `run` of each term.
   void begin_term() { in_flight_ = 0; }
-  // Writes what the scheduler has to write, and cleans up in between, until `term` is over. Steps down where a
-  // transaction's conditions do not hold: another leader, or a lost picture of the keys.
+  // Writes the scheduler's pending rows, and removes obsolete keys when write capacity is unused, until `term` is over.
+  // Steps down if a transaction's conditions do not hold: another node leads, or the known key versions are wrong.
   rt::Task<void> run(std::uint64_t term);
 
  private:
--- a/src/service/finished_job_cache.hpp
+++ b/src/service/finished_job_cache.hpp
@@ -1,5 +1,5 @@
-// Jobs that are over, as far as this node knows. A final state never changes, so that any node may tell
-// it at any later time; the store knows those that were dropped here.
+// Cache of the finished jobs known to this node. A final state never changes, so any node may report it at any later
+// time; evicted entries remain in the store.
 #pragma once
 #include <deque>
 #include <optional>
@@ -9,12 +9,12 @@
 
 namespace martenwall::service {
 
-// Keeps the latest ends only; a job that is not found may be over all the same.
+// Holds the most recently added jobs only; a job that is not found may have finished nevertheless.
 class FinishedJobCache {
  public:
-  // `most`: jobs that are kept.
+  // `max_jobs`: the capacity; the oldest entry is evicted first.
   explicit FinishedJobCache(std::size_t max_jobs = 50'000) : max_jobs_(max_jobs) {}
-  // Without effect where the phase is not final or the job is known.
+  // Has no effect if the phase is not final or the job is already cached.
   void add(const JobStatus& status) {
     if (!is_final(status.phase) || !by_id_.try_emplace(status.id, status).second) return;
     insertion_order_.push_back(status.id);
@@ -22,7 +22,7 @@
     by_id_.erase(insertion_order_.front());
     insertion_order_.pop_front();
   }
-  // Nothing where the end is not known here.
+  // Returns nothing if the job is not cached.
   [[nodiscard]] std::optional<JobStatus> find(const JobId& id) const {
     const auto found = by_id_.find(id);
     return found == by_id_.end() ? std::nullopt : std::optional{found->second};
--- a/src/service/format_version_service.cpp
+++ b/src/service/format_version_service.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 constexpr Duration poll_interval = seconds(0.5);
-// What a task takes in a row, its index, attempt and machine; where names are longer, rows are divided as they are
-// measured.
+// Estimated size of a task in a row: its index, attempt and machine. Rows that exceed the limit because names are
+// longer are split when their size is measured.
 constexpr std::size_t bytes_per_task = 24;
-constexpr std::size_t row_overhead = 300;
+constexpr std::size_t row_overhead_bytes = 300;
 constexpr std::size_t max_tasks = 400;
 constexpr std::size_t bytes_per_machine = 190;
-constexpr std::size_t machine_row_overhead = 400;
+constexpr std::size_t machine_row_overhead_bytes = 400;
 constexpr std::size_t max_machines = 60;
 
 std::size_t records_per_row(std::size_t value_bytes, std::size_t overhead_bytes, std::size_t bytes_per_record,
@@ -24,10 +24,10 @@
 
 void apply_row_size_limits(Context& ctx) {
   if (ctx.scheduler == nullptr) return;
-  const auto value = ctx.limits.value_bytes();
+  const auto value_bytes = ctx.limits.value_bytes();
   ctx.scheduler->set_row_sizes(
-      static_cast<std::uint32_t>(records_per_row(value, row_overhead, bytes_per_task, max_tasks)),
-      records_per_row(value, machine_row_overhead, bytes_per_machine, max_machines));
+      static_cast<std::uint32_t>(records_per_row(value_bytes, row_overhead_bytes, bytes_per_task, max_tasks)),
+      records_per_row(value_bytes, machine_row_overhead_bytes, bytes_per_machine, max_machines));
 }
 
 rt::Task<void> FormatVersionService::run() {
@@ -84,7 +84,7 @@
   return names;
 }
 
-// By the leader of this moment only; whether it came to pass is read from the store, like anyone's.
+// Commits only if this node is still the leader. The outcome is read from the store, as on every other node.
 rt::Task<void> FormatVersionService::raise_format_version() {
   const auto token = ctx_.leadership.token();
   auto outdated_nodes = node_names();
--- a/src/service/format_version_service.hpp
+++ b/src/service/format_version_service.hpp
@@ -1,5 +1,6 @@
-// Which versions the nodes run. Forms that a version of level 1 would misread are written only once every node has
-// stated in the store that it runs a later one; the leader then raises the level of all, which never falls.
+// Negotiates the format version of the cluster. Formats that releases with format version 1 would misread are written
+// only after every node has recorded in the store that it supports a later version; the leader then raises the format
+// version of the cluster, which never decreases.
 #pragma once
 #include <set>
 #include <string>
@@ -9,14 +10,16 @@
 
 namespace martenwall::service {
 
-// Keeps `Context::format_version`, which never falls.
+// Maintains `Context::format_version`, which never decreases.
 class FormatVersionService {
  public:
-  // Both outlive this object.
+  // Both must outlive this object.
   FormatVersionService(Context& ctx, StoreClient& store) : ctx_(ctx), store_(store) {}
-  // States this node's version, then waits for, or as the leader raises, that of all. Ends once it is raised.
+  // Records this node's version, then waits for the cluster's format version to be raised, or raises it if this node
+  // leads. Returns once it is raised.
   rt::Task<void> run();
-  // Reads the level of all; nothing where the store did not answer. A leader does so before it reads any row.
+  // Reads the cluster's format version. Returns false if the store did not respond or the row is unreadable. A leader
+  // calls it before it reads any other row.
   rt::Task<bool> read();
 
  private:
@@ -26,10 +29,10 @@
 
   Context& ctx_;
   StoreClient& store_;
-  std::string last_logged_nodes_;  // as last logged
+  std::string last_logged_nodes_;  // comma-separated names of the awaited nodes, as last logged
 };
 
-// The sizes of the leader's rows, as the limits stand now.
+// Sets the sizes of the leader's rows according to the current limits. Has no effect on a follower.
 void apply_row_size_limits(Context& ctx);
 
 }  // namespace martenwall::service
--- a/src/service/health_check.cpp
+++ b/src/service/health_check.cpp
@@ -3,7 +3,7 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration answer_validity = seconds(4);  // followers hear of the store every 2 s at least
+constexpr Duration answer_validity = seconds(4);  // followers receive an answer of the store at least every 2 s
 }  // namespace
 
 HealthCheck::HealthCheck(Context& ctx, PeerService& peers) : ctx_(ctx), peers_(peers) {}
@@ -12,8 +12,8 @@
   if (ctx_.types.empty()) return false;
   const Time oldest_valid = ctx_.now() - answer_validity;
   if (ctx_.store_answered_at > oldest_valid || ctx_.leader_answered_at > oldest_valid) return true;
-  // In an outage that all nodes share none is better than this one: were all taken out, users would find no
-  // node for some time after its end too. A node that is cut off alone must go.
+  // In an outage that affects all nodes no other node is better than this one. If all were taken out, users would find
+  // no node for some time after the outage too. A node that is isolated alone must be taken out.
   return peers_.availability() == PeerService::Availability::none_reaches_store;
 }
 
--- a/src/service/health_check.hpp
+++ b/src/service/health_check.hpp
@@ -1,18 +1,18 @@
-// Whether the load balancer should send users to this node.
+// Tells the load balancer whether to send users to this node.
 #pragma once
 #include "service/context.hpp"
 #include "service/peer_service.hpp"
 
 namespace martenwall::service {
 
-// Has no state of its own: each call looks at what the other services have seen.
+// Stateless: each call reads what the other services have recorded.
 class HealthCheck {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this check.
   HealthCheck(Context& ctx, PeerService& peers);
 
-  // For GET /up: the machine types are known, and the store or the leader answered within the last seconds, or no other
-  // node is better off.
+  // Result for GET /up: true if the machine types are known and either the store or the leader answered within the last
+  // seconds, or no other node is better off.
   [[nodiscard]] bool healthy() const;
 
  private:
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -5,12 +5,12 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration batching_delay = seconds(0.01);  // heartbeats wait so long for others to go with them
-constexpr Duration max_wait = seconds(2.8);       // a worker waits 4 s: it is told where else to go before it gives up
-constexpr Duration batch_timeout = seconds(1.2);  // for the leader's reply
+constexpr Duration batching_delay = seconds(0.01);  // how long heartbeats wait for others to share their batch
+constexpr Duration max_wait = seconds(2.8);         // a worker waits 4 s: it is redirected before it times out
+constexpr Duration batch_timeout = seconds(1.2);    // for the leader's reply
 constexpr Duration probe_timeout = seconds(0.5);
 constexpr Duration check_interval = seconds(0.1);  // of the link and of the leader's name
-constexpr Duration load_interval = seconds(1);     // other nodes forget a load after 3 s
+constexpr Duration load_interval = seconds(1);     // other nodes discard a load after 3 s
 constexpr std::size_t max_batches_in_flight = 4;
 }  // namespace
 
@@ -44,7 +44,7 @@
                          ctx_.now());
 }
 
-// ---- a worker's heartbeat ----
+// ---- heartbeats from workers ----
 
 rt::Task<rt::HttpResponse> HeartbeatRelay::on_heartbeat(std::string body) {
   auto heartbeat = wire::parse_heartbeat(body);
@@ -56,7 +56,7 @@
     const auto assignment = balancer_.assign(heartbeat->machine, load_(), ctx_.now());
     if (assignment.kind == relay::Assignment::Kind::move) {
       ctx_.metrics.count_heartbeat(metrics::HeartbeatPath::redirected);
-      // Nothing of the heartbeat is used: the worker sends it again to the other node, at once.
+      // The heartbeat is discarded: the worker immediately sends it again to the other node.
       co_return rt::HttpResponse{421, wire::encode_redirect(assignment.to), {}, true};
     }
     close = assignment.kind == relay::Assignment::Kind::keep_and_close;
@@ -71,7 +71,7 @@
   const Time deadline = ctx_.now() + max_wait;
   for (;;) {
     co_await workers_.wait_for_role();
-    // No wait may come between the look at the leadership and the answer.
+    // No suspension is allowed between the check of the leadership and the answer.
     if (ctx_.scheduler != nullptr) {
       const auto answer = workers_.answer(heartbeat);
       if (answer.kind != HeartbeatResponse::Kind::misdirected) co_return answer_as_leader(answer);
@@ -131,7 +131,7 @@
   }
 }
 
-// In the order of arrival: the heartbeat that waited longest is nearest to the end of its worker's lease.
+// Takes heartbeats in order of arrival: the one that waited longest is nearest to the expiry of its worker's lease.
 HeartbeatRelay::Batch HeartbeatRelay::dequeue_batch() {
   Batch batch;
   std::size_t bytes = 0;
@@ -149,7 +149,7 @@
   return batch;
 }
 
-// The caller has counted the batch in `batches_in_flight_`. An empty one only tells the leader this node's load.
+// Sends the batch, which the caller has counted in `batches_in_flight_`. An empty batch only reports this node's load.
 rt::Task<void> HeartbeatRelay::send(Batch batch) {
   wire::HeartbeatBatch message{own_load(), {}};
   message.heartbeats.reserve(batch.size());
@@ -160,7 +160,7 @@
   const auto reply = co_await peers_.call_node(leader, std::move(request), batch_timeout);
   --batches_in_flight_;
   const bool answered = assign_answers(batch, reply);
-  // The silence of a node that does not lead any more says nothing of the link to the new leader.
+  // A missing reply from a node that has lost the leadership says nothing about the link to the new leader.
   if (leader == link_.leader()) {
     link_.on_batch_result(answered, ctx_.now());
     if (answered) ctx_.leader_answered_at = ctx_.now();
@@ -178,7 +178,7 @@
   auto responses = wire::decode_responses(reply->body);
   if (!responses || responses->responses.size() != batch.size()) return false;
   for (std::size_t i = 0; i < batch.size(); ++i) {
-    // It lost its leadership after it had looked at the batch: that is no answer.
+    // The node lost its leadership while it processed the batch: this is no answer.
     if (responses->responses[i].kind == HeartbeatResponse::Kind::misdirected) continue;
     batch[i]->answer = std::move(responses->responses[i]);
     batch[i]->token = responses->token;
@@ -187,7 +187,7 @@
   return true;
 }
 
-// ---- the leader's side ----
+// ---- batches from other nodes, at the leader ----
 
 rt::Task<wire::PeerReply> HeartbeatRelay::on_heartbeats(wire::PeerRequest request) {
   const auto batch = wire::decode_batch(request.body);
@@ -250,11 +250,11 @@
   for (;;) {
     co_await ctx_.loop.sleep(check_interval);
     refresh_leader();
-    if (ctx_.scheduler != nullptr) link_changed_.notify();  // heartbeats waited for a leader: it is this node
+    if (ctx_.scheduler != nullptr) link_changed_.notify();  // this node may be the leader that heartbeats wait for
     if (!probe_in_flight_ && link_.probe_due(ctx_.now())) rt::spawn(probe());  // detached: ends at its timeout
     const bool load_due = ctx_.now() - load_sent_at_ >= load_interval;
     if (link_.state() == relay::LinkState::open && load_due) {
-      // Where no heartbeats come, an empty batch tells the leader that this node has room for workers.
+      // If no heartbeats arrive, an empty batch reports to the leader that this node has capacity for workers.
       ++batches_in_flight_;
       rt::spawn(send(Batch{}));  // detached: ends at the batch's timeout
     }
--- a/src/service/heartbeat_relay.hpp
+++ b/src/service/heartbeat_relay.hpp
@@ -1,4 +1,4 @@
-// Workers' heartbeats, whichever node they reach: answered here by a leader, forwarded to the leader by other nodes.
+// Workers' heartbeats at any node: a leader answers them, other nodes forward them to the leader.
 #pragma once
 #include <deque>
 #include <functional>
@@ -17,21 +17,22 @@
 
 namespace martenwall::service {
 
-// Takes all heartbeats of a node and shares the workers out among the nodes. Only the leader decides on a heartbeat:
-// a follower hands its answer over unchanged, and gives none of its own but 421.
+// Receives all heartbeats of a node and distributes the workers among the nodes. Only the leader decides on a
+// heartbeat: a follower delivers the leader's answer unchanged, and gives no answer of its own but 421.
 class HeartbeatRelay {
  public:
-  // `load` gives the workers' connections at this node and how many it has room for; without it no worker is sent to
-  // another node for the sake of balance. It is first called after `run` or the first heartbeat.
+  // `load` returns the number of worker connections at this node and its capacity; without it no worker is redirected
+  // for load balancing. It is first called after `run` or the first heartbeat.
   HeartbeatRelay(Context& ctx, PeerService& peers, WorkerService& workers, std::function<relay::NodeLoad()> load = {});
 
-  // A worker's POST /agent/beat: 200 by the leader's word, 421, 503, or 400. Waits up to 2.8 s for a leader.
+  // Handles a worker's POST /agent/beat: 200 with the leader's answer, 421, 503, or 400. Waits up to 2.8 s for a
+  // leader.
   rt::Task<rt::HttpResponse> on_heartbeat(std::string body);
 
-  // Keeps the link to the leader probed, and the leader informed of this node's load; runs as long as the node.
+  // Probes the link to the leader and reports this node's load to it; runs as long as the node.
   rt::Task<void> run();
 
-  // The leader's side: a batch that another node forwards. 421 where this node does not lead.
+  // Answers a batch that another node forwards to this node as leader; 421 if this node does not lead.
   rt::Task<wire::PeerReply> on_heartbeats(wire::PeerRequest request);
 
  private:
@@ -40,11 +41,11 @@
   struct PendingHeartbeat {
     PendingHeartbeat(rt::Loop& loop, Heartbeat h) : heartbeat(std::move(h)), completion(loop) {}
     Heartbeat heartbeat;
-    std::optional<HeartbeatResponse> answer;  // nothing where no node that leads has given one
+    std::optional<HeartbeatResponse> answer;  // empty until a leader has answered
     FencingToken token;                       // of the leader that answered
     rt::Event completion;
     bool completed = false;  // its batch has ended
-    bool abandoned = false;  // the worker's request does not wait any more
+    bool abandoned = false;  // the worker's request has stopped waiting
   };
   using Batch = std::vector<std::shared_ptr<PendingHeartbeat>>;
 
@@ -70,13 +71,13 @@
   relay::LeaderLink link_;
   relay::WorkerBalancer balancer_;
   std::function<relay::NodeLoad()> load_;
-  // No longer than the workers' connections: each has one heartbeat in flight.
+  // Never longer than the number of worker connections: each has one heartbeat in flight.
   std::deque<std::shared_ptr<PendingHeartbeat>> queue_;
   bool sending_scheduled_ = false;
   bool probe_in_flight_ = false;
   std::size_t batches_in_flight_ = 0;
-  Time load_sent_at_{};     // when the leader was last told this node's load
-  rt::Event link_changed_;  // heartbeats that wait for a leader look again
+  Time load_sent_at_{};     // when this node's load was last sent to the leader
+  rt::Event link_changed_;  // wakes heartbeats that wait for a leader
   relay::LinkState logged_state_ = relay::LinkState::none;
 };
 
--- a/src/service/inbox_writer.cpp
+++ b/src/service/inbox_writer.cpp
@@ -3,8 +3,8 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration announcement_interval = seconds(20);  // per job; each note is a change of the store
-constexpr std::size_t max_announced = 200;               // jobs per interval, for the same reason
+constexpr Duration announcement_interval = seconds(20);  // per job; each entry costs a change of the store
+constexpr std::size_t max_announced = 200;               // jobs per interval; also limits the changes of the store
 constexpr Duration entry_timeout = seconds(1.5);
 constexpr Duration cancellation_timeout = seconds(1);  // within the 3 s that a cancellation waits for its result
 }  // namespace
@@ -14,7 +14,7 @@
 void InboxWriter::announce_job(const JobId& id) {
   std::erase_if(announced_at_, [&](const auto& entry) { return ctx_.now() - entry.second > announcement_interval; });
   if (announced_at_.size() >= max_announced || !announced_at_.emplace(id, ctx_.now()).second) return;
-  rt::spawn(write_entry(id));  // detached: ends by itself at the transaction's timeout
+  rt::spawn(write_entry(id));  // detached: returns at the transaction's timeout at the latest
 }
 
 rt::Task<void> InboxWriter::write_entry(JobId id) {
--- a/src/service/inbox_writer.hpp
+++ b/src/service/inbox_writer.hpp
@@ -1,4 +1,4 @@
-// Notes to the leader by way of the store, for what it must learn of and cannot be told directly.
+// Writes inbox entries: messages to the leader through the store, for nodes that cannot reach it directly.
 #pragma once
 #include <unordered_map>
 
@@ -7,21 +7,22 @@
 
 namespace martenwall::service {
 
-// Writes the inbox keys that LeaderInbox watches while it leads and reads when it begins to lead.
+// Writes the inbox keys that a leader reads during its recovery and watches afterwards (LeaderInbox).
 class InboxWriter {
  public:
-  // What it is given belongs to the node and outlives it.
+  // Both must outlive this object.
   InboxWriter(Context& ctx, StoreClient& store);
 
-  // Says that the job is in the store, for a leader that may know nothing of it: stored by a write of the leader's own
-  // that was applied late, after it had given it up, or just as another took over. The job would else wait for the next
-  // leader. Returns at once; the note is written in the background, once per job and 20 s.
+  // Announces a job in the store that the leader may not know: a write of the leader that was applied late, after the
+  // leader had abandoned it, or at the moment of a failover. Without the entry the job would wait for the next leader.
+  // Returns immediately; the entry is written in the background, at most once per job in 20 s.
   void announce_job(const JobId& id);
 
-  // The same note, now. It never replaces a note that asks for more; whether it was stored is not reported.
+  // Writes the same entry and waits for the write. Never replaces an existing entry, which may request a cancellation.
+  // Does not report whether the entry was stored.
   rt::Task<void> write_entry(JobId id);
 
-  // Asks the leader to cancel the job. False where the store did not take the note, or did not say so.
+  // Requests that the leader cancel the job. Returns false if the store did not confirm the entry.
   rt::Task<bool> request_cancellation(JobId id);
 
  private:
--- a/src/service/job_adopter.cpp
+++ b/src/service/job_adopter.cpp
@@ -7,7 +7,7 @@
 void JobAdopter::adopt(std::uint64_t term, Job job, KeyVersion version) {
   if (!ctx_.leads(term)) return;
   const auto& id = job.spec.id;
-  // Users were told of an end: it stays.
+  // A final state that was reported to users never changes.
   const bool known =
       ctx_.scheduler->find_job(id) != nullptr || ctx_.scheduler->was_finished(id) || ctx_.finished_jobs.find(id);
   if (known) return;
--- a/src/service/job_reader.cpp
+++ b/src/service/job_reader.cpp
@@ -6,9 +6,10 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration final_read_timeout = seconds(0.7);    // two of them, or one after a row, fit into a lookup
-constexpr Duration release_read_timeout = seconds(0.5);  // before the reads of the dependencies
-constexpr int max_dependency_reads = 12;                 // of a poll: more would not end within its time
+constexpr Duration final_read_timeout =
+    seconds(0.7);  // two of these reads, or one after a row's read, fit into a lookup
+constexpr Duration release_read_timeout = seconds(0.5);  // leaves time for the reads of the dependencies
+constexpr int max_dependency_reads = 12;                 // per poll: more would not end within its timeout
 }  // namespace
 
 JobReader::JobReader(Context& ctx, StoreClient& store, LeaderService& leader_service, JobRowStore& job_rows)
@@ -24,15 +25,15 @@
 rt::Task<JobLookup> JobReader::read_status(JobId id) {
   const auto term = ctx_.term;
   const Time began = ctx_.loop.update_time();
-  // In this order: a job moves from one of its first keys to the last and never back.
+  // The order of the reads matters: a job moves from one of its first keys to the last one and never back.
   JobRowStore::Read active = co_await job_rows_.read(id);
   if (active.outcome == ReadOutcome::failed) co_return JobLookup{};
-  // What was read under an earlier leadership, or before the job's end, may be out of date by now.
+  // What was read under an earlier leadership, or before the job's end, may be out of date.
   if (const auto known = from_memory(id)) co_return *known;
   if (active.outcome == ReadOutcome::absent) co_return co_await read_final(id);
   if (ctx_.term != term || ctx_.loop.update_time() - began > lookup_timeout) co_return JobLookup{};
   if (!active.job) co_return JobLookup{};
-  // Written by this leader while it was busy, or by another node: either way it is to run.
+  // The row was written by this leader while it was busy, or by another node: in both cases the job is to run.
   Job job = *active.job;
   if (ctx_.has_valid_lease()) {
     leader_service_.adopt_job(term, std::move(*active.job), active.version);
@@ -41,7 +42,7 @@
   co_return co_await confirm_active(std::move(job), term, began);
 }
 
-// The state of a job whose row stands in the store. `term` and `began` are of the read of that row.
+// Returns the state of a job whose row is in the store. `term` and `began` belong to the read of that row.
 rt::Task<JobLookup> JobReader::confirm_active(Job job, std::uint64_t term, Time began) {
   const JobId id = job.spec.id;
   if (job.dependent) {
@@ -52,8 +53,9 @@
   co_return JobLookup{Existence::exists, {id, JobPhase::pending, 0, 0}};
 }
 
-// False unless reads of the store show that nothing the job needs is cancelled. Without the leader's word this is not
-// known: a cancellation takes all jobs with it that need the cancelled one, and may not have reached this one yet.
+// Returns false unless reads of the store show that none of the job's dependencies is cancelled. Only the leader knows
+// this without reading: a cancellation also cancels all jobs that depend on the cancelled one, and may not have reached
+// this job yet.
 rt::Task<bool> JobReader::may_report_active(Job job) {
   const ReadResult released = co_await store_.get(wire::tasks_key(job.spec.id, 0), release_read_timeout);
   if (released.outcome != ReadOutcome::absent) co_return released.outcome == ReadOutcome::found;
--- a/src/service/job_row_store.cpp
+++ b/src/service/job_row_store.cpp
@@ -3,7 +3,7 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t max_txn_bytes = 48 * 1024;  // of the 64 KiB
+constexpr std::size_t max_txn_bytes = 48 * 1024;  // of 64 KiB; the rest is for conditions and framing
 }  // namespace
 
 rt::Task<std::optional<Job>> JobRowStore::decode(JobId id, wire::json row) {
@@ -26,19 +26,19 @@
 
 rt::Task<JobRowStore::Read> JobRowStore::read_at(JobId id, bool dependent) {
   Read result;
-  ReadResult r = co_await store_.get(wire::job_key(id, dependent), seconds(0.7));
-  result.outcome = r.outcome;
-  result.version = r.item.version;
-  if (r.outcome != ReadOutcome::found) co_return result;
-  result.job = co_await decode(id, std::move(r.item.value));
+  ReadResult row = co_await store_.get(wire::job_key(id, dependent), seconds(0.7));
+  result.outcome = row.outcome;
+  result.version = row.item.version;
+  if (row.outcome != ReadOutcome::found) co_return result;
+  result.job = co_await decode(id, std::move(row.item.value));
   if (result.job) result.job->dependent = dependent;
   co_return result;
 }
 
 rt::Task<JobRowStore::Read> JobRowStore::read(JobId id) {
   Read independent = co_await read_at(id, false);
-  // Whatever level this node knows of: one that has just begun, or was cut off while the level rose, would else call a
-  // job that awaits others never accepted.
+  // Reads the second key regardless of the format version known to this node. Otherwise a node that has just started,
+  // or that was partitioned while the version was raised, would report a dependent job as never accepted.
   if (independent.outcome != ReadOutcome::absent) co_return independent;
   co_return co_await read_at(id, true);
 }
@@ -48,8 +48,8 @@
   const wire::ChunkManifest manifest{std::to_string(ctx_.random()), chunks.size()};
   job.chunk_keys.clear();
   for (std::size_t i = 0; i < chunks.size();) {
-    // While the job is not there: a repeated submission must not add to one that was accepted.
-    // Nor, carried out late, to one that is over: no one would ever remove it.
+    // Requires that the job does not exist: a repeated submission must not add chunks to an accepted job. A transaction
+    // that is executed late must not add chunks to a finished job either, since they would never be removed.
     std::vector<wire::Condition> conditions{{wire::job_key(job.spec.id, false), KeyVersion{0}},
                                             {wire::job_key(job.spec.id, true), KeyVersion{0}},
                                             {wire::final_key(job.spec.id), KeyVersion{0}}};
@@ -62,8 +62,8 @@
       job.chunk_keys.push_back(wire::chunk_key(job.spec.id, manifest.nonce, i));
       operations.push_back({job.chunk_keys.back(), chunks[i], std::nullopt});
     }
-    const TxnResult r = co_await store_.txn(std::move(conditions), std::move(operations), seconds(1.5));
-    if (r.outcome != TxnOutcome::committed) co_return false;
+    const TxnResult written = co_await store_.txn(std::move(conditions), std::move(operations), seconds(1.5));
+    if (written.outcome != TxnOutcome::committed) co_return false;
   }
   row = wire::encode_chunk_manifest(manifest);
   co_return true;
@@ -74,12 +74,13 @@
   job.dependent = !job.spec.dependencies.empty();
   wire::json row = wire::encode_job_row(job);
   if (row.dump().size() > ctx_.limits.value_bytes()) {
-    // A version of level 1 would leave a row in pieces alone for good.
+    // Releases with format version 1 would never process a row that is split into chunks.
     if (ctx_.format_version < wire::current_format_version) co_return TxnResult{};
     const bool stored = co_await store_chunks(job, row);
     if (!stored) co_return TxnResult{};
   }
-  // All three: tried at another node meanwhile, the same job may have come to await nothing any more.
+  // Checks all three keys: the same job may have been submitted at another node in the meantime and stored as an
+  // independent job, because its dependencies had ended.
   std::vector<wire::Condition> conditions{{wire::job_key(id, false), KeyVersion{0}},
                                           {wire::job_key(id, true), KeyVersion{0}},
                                           {wire::final_key(id), KeyVersion{0}}};
--- a/src/service/job_row_store.hpp
+++ b/src/service/job_row_store.hpp
@@ -1,4 +1,4 @@
-// A job's own row in the store: at one of two keys, and spread over further ones where it is too long for one value.
+// The row of a job in the store: at one of two keys, split into chunks at further keys if it exceeds the value size.
 #pragma once
 #include <optional>
 
@@ -7,26 +7,29 @@
 
 namespace martenwall::service {
 
-// Reads and creates the rows; ends are written by the leader's FencedWriter. Nothing is retried here.
+// Reads and creates the rows; the leader's FencedWriter writes final states. Nothing is retried here.
 class JobRowStore {
  public:
-  // Both outlive this object.
+  // Both must outlive this object.
   JobRowStore(Context& ctx, StoreClient& store) : ctx_(ctx), store_(store) {}
 
-  // What a read found.
+  // The result of reading a job's row.
   struct Read {
-    ReadOutcome outcome = ReadOutcome::failed;  // absent: it is at neither key
-    std::optional<Job> job;                     // nothing where the row cannot be read
+    ReadOutcome outcome = ReadOutcome::failed;  // absent: at none of the keys that were read
+    std::optional<Job> job;                     // empty if the row cannot be decoded
     KeyVersion version;
   };
-  // Of a job that has not ended. Looks at one key, then at the other.
+  // Reads the row of an unfinished job: at the key of independent jobs and, if it is absent there, at that of dependent
+  // ones.
   rt::Task<Read> read(JobId id);
-  // Looks at one key only.
+  // Reads the row at only one of the two keys.
   rt::Task<Read> read_at(JobId id, bool dependent);
-  // The job of a row; reads its pieces where it has any. Nothing where one is missing or a form is another.
+  // Decodes a job from its row and reads the row's chunks, if any. Returns nothing if a chunk could not be read or the
+  // format is unknown.
   rt::Task<std::optional<Job>> decode(JobId id, wire::json row);
-  // Stores a job that neither is there nor was: with a note for the leader where `note` has a node's name.
-  // The row itself comes last: until it stands the job is not accepted, whatever pieces of it there are.
+  // Stores a job on condition that it does not exist and has not finished. Also writes an inbox entry for the leader if
+  // `announcing_node`, the name of the writing node, is not empty. Writes the row itself last: without it the job is
+  // not accepted, even if chunks of it exist.
   rt::Task<TxnResult> store_new_job(Job& job, std::string announcing_node);
 
  private:
--- a/src/service/job_validation.cpp
+++ b/src/service/job_validation.cpp
@@ -16,7 +16,7 @@
 
 bool exceeds_limit(double limit, double amount) { return limit > 0 && amount > limit + rounding_tolerance; }
 
-// Zones in which some allowed machine type takes a task of the job.
+// Returns the zones in which an allowed machine type fits a task of the job.
 std::set<std::string> allowed_zones(const JobSpec& spec, const std::vector<MachineType>& types) {
   std::set<std::string> zones;
   for (const auto& type : types) {
@@ -32,7 +32,7 @@
                                     const std::vector<MachineType>& types) {
   const auto team = std::ranges::find(teams, spec.team, &Team::name);
   if (team == teams.end()) return never_runs("unknown team");
-  // Of an array one task has to fit the limit; of a gang or a service all tasks run at the same time.
+  // For an array one task has to fit the limit; the tasks of a gang or a service all run at the same time.
   const auto needed = spec.need.times(spec.kind == JobKind::array ? 1 : spec.tasks);
   if (exceeds_limit(team->limit.cpus, needed.cpus) || exceeds_limit(team->limit.gpus, needed.gpus)) {
     return never_runs("needs more than the team's limit");
--- a/src/service/job_validation.hpp
+++ b/src/service/job_validation.hpp
@@ -1,4 +1,4 @@
-// Whether a job can ever run, by the teams and machine types that a node knows.
+// Checks whether a job can ever run, by the teams and machine types that a node knows.
 #pragma once
 #include <optional>
 #include <vector>
@@ -8,10 +8,10 @@
 
 namespace martenwall::service {
 
-// Why the job cannot be accepted; nothing where it can.
-//   failed_precondition  it can never run: unknown team, more than the team's limit, no machine type or zone for it
+// Returns why the job cannot be accepted; nothing if it can.
+//   failed_precondition  the job can never run: unknown team, above the team's limit, no machine type or zone fits it
 //   unavailable          the machine types are not known yet
-// The message is the text that the user gets.
+// The message is sent to the user.
 std::optional<Error> find_rejection(const JobSpec& spec, const std::vector<Team>& teams,
                                     const std::vector<MachineType>& types);
 
--- a/src/service/key_versions.hpp
+++ b/src/service/key_versions.hpp
@@ -1,4 +1,4 @@
-// The versions of the keys that this leader read or wrote: what its compare-and-swap transactions are conditioned on.
+// Versions of the keys that this leader has read or written, which its compare-and-swap transactions use as conditions.
 #pragma once
 #include <map>
 #include <string>
@@ -7,18 +7,18 @@
 
 namespace martenwall::service {
 
-// Holds one term's knowledge; cleared when the next term begins. A key that is not listed is taken to be absent.
+// Holds the versions of one term; cleared when the next term begins. An unlisted key is assumed to be absent.
 class KeyVersions {
  public:
-  // The key was read, or written by this leader, at this version.
+  // Records that this leader read or wrote the key at this version.
   void record(const std::string& key, KeyVersion version) { versions_[key] = version; }
-  // The key was removed.
+  // Records that the key was removed.
   void erase(const std::string& key) { versions_.erase(key); }
-  // Forgets all, when a term begins.
+  // Removes all entries when a term begins.
   void clear() { versions_.clear(); }
-  // Whether the key is known to be there.
+  // Whether the key is known to exist.
   [[nodiscard]] bool contains(const std::string& key) const { return versions_.contains(key); }
-  // Version 0, which is the store's word for an absent key, where the key is not listed.
+  // Returns the key's version, or version 0, which the store uses for absent keys, if the key is not listed.
   [[nodiscard]] KeyVersion version_of(const std::string& key) const {
     const auto found = versions_.find(key);
     return found == versions_.end() ? KeyVersion{0} : found->second;
--- a/src/service/leader_election.cpp
+++ b/src/service/leader_election.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 constexpr Duration request_timeout = seconds(1);
-constexpr Duration watch_hold = seconds(2);          // below the time after which the store counts as out of reach
-constexpr Duration read_retry_pause = seconds(0.3);  // after a read without an answer
+constexpr Duration watch_hold = seconds(2);          // less than the time after which the store counts as unreachable
+constexpr Duration read_retry_pause = seconds(0.3);  // after a read without a response
 constexpr Duration renewal_retry_pause = seconds(0.2);
-constexpr Duration min_renewal_pause{20000};  // us; also where a renewal took longer than its interval
+constexpr Duration min_renewal_pause{20000};  // us; also applies if a renewal took longer than its interval
 }  // namespace
 
 rt::Task<void> LeaderElection::follow_leader() {
@@ -34,7 +34,7 @@
   }
 }
 
-// Returns where the key has changed, or where the watch has to be set up anew.
+// Returns once the key has changed or the watch has to be established again.
 rt::Task<void> LeaderElection::watch_leader_key(Revision after) {
   for (;;) {
     const auto watch = co_await store_.watch(wire::leader_key, after, watch_hold);
@@ -48,7 +48,7 @@
   const ReadResult record = co_await store_.get(wire::leadership_record_key, request_timeout);
   if (record.outcome == ReadOutcome::failed) co_return std::nullopt;
   const bool has_record = record.outcome == ReadOutcome::found;
-  // The last leader's own grace counts, not this node's: the settings may have changed since.
+  // The previous leader's own grace period applies, not this node's: the settings may have changed since.
   const Duration previous_grace =
       has_record ? wire::decode_leadership_record(record.item.value).value_or(ctx_.leadership.grace()) : Duration{0};
   const Time sent = ctx_.loop.update_time();
@@ -56,7 +56,7 @@
   if (!lease) co_return std::nullopt;
   const std::string nonce = std::to_string(ctx_.random());
   co_await propose(*lease, nonce, has_record ? record.item.version : KeyVersion{0});
-  // Whatever the answer was, the key itself tells who leads, and its version is the token.
+  // The outcome of the transaction may be unknown; the key itself determines the leader, and its version is the token.
   const ReadResult leader = co_await store_.get(wire::leader_key, request_timeout);
   if (leader.outcome != ReadOutcome::found || wire::decode_leader(leader.item.value).nonce != nonce) {
     co_await store_.end_lease(*lease);
@@ -66,8 +66,8 @@
   co_return previous_grace;
 }
 
-// Sends the compare-and-swap that makes this node the leader if no node is, and if no other led since the record was
-// read.
+// Sends the compare-and-swap that makes this node the leader, on condition that no node leads and that no other node
+// has led since the record was read.
 rt::Task<void> LeaderElection::propose(LeaseId lease, std::string nonce, KeyVersion record_version) {
   std::vector<wire::Condition> conditions{{wire::leader_key, KeyVersion{0}},
                                           {wire::leadership_record_key, record_version}};
@@ -90,7 +90,7 @@
   while (ctx_.term == term) {
     const Time sent = ctx_.loop.update_time();
     const auto renewal = co_await store_.renew_lease(lease_, request_timeout);
-    // The term may be over, and `lease_` another one.
+    // The term may be over, and `lease_` may belong to a later one.
     if (ctx_.term != term) co_return;
     ctx_.last_renewal_sent_at = sent;
     if (renewal == StoreClient::LeaseRenewal::ended) {
@@ -105,7 +105,8 @@
   }
 }
 
-// While the lease is not proven to be valid nothing is placed.
+// Updates the lease's validity. Nothing is placed while the lease is not proven valid, so the coroutines that
+// wait for work are notified when the validity changes.
 void LeaderElection::record_renewal(bool renewed, Time sent) {
   const bool was_valid = ctx_.leadership.has_valid_lease(ctx_.now());
   if (renewed) ctx_.leadership.renewed(sent, ctx_.now());
@@ -123,7 +124,7 @@
   ++ctx_.term;
   ctx_.scheduler.reset();
   if (ctx_.leader == ctx_.settings.node) ctx_.leader.clear();
-  rt::spawn(store_.end_lease(lease_));  // ends with its one request
+  rt::spawn(store_.end_lease(lease_));  // returns after one request
   ctx_.leader_changed.notify();
   ctx_.write_committed.notify();
   ctx_.writes_due.notify();
--- a/src/service/leader_election.hpp
+++ b/src/service/leader_election.hpp
@@ -1,4 +1,4 @@
-// Leader election by one key of the store that is bound to a lease; the key's version is the fencing token.
+// Leader election by a single store key that is bound to a lease; the key's version is the fencing token.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,21 +9,21 @@
 
 namespace martenwall::service {
 
-// Owns this node's lease. Every begin and end of a leadership changes `Context::term`; coroutines that were started for
-// a term compare it after each suspension and end where it has moved on.
+// Owns this node's lease. `Context::term` changes whenever a leadership begins or ends; coroutines started for a term
+// compare it after each suspension and return if it has changed.
 class LeaderElection {
  public:
-  // Both outlive this object.
+  // Both must outlive this object.
   LeaderElection(Context& ctx, StoreClient& store) : ctx_(ctx), store_(store) {}
 
-  // Keeps `Context::leader` up to date and returns once no node holds the leader key.
+  // Keeps `Context::leader` up to date; returns once no node holds the leader key.
   rt::Task<void> follow_leader();
-  // Tries once to become the leader. Where this node wins, a new term has begun and the previous leader's grace is
-  // returned (zero where there was none); nothing where another node won or the store did not answer.
+  // Tries once to become the leader. If this node wins, begins a new term and returns the previous leader's grace
+  // period (zero if there was no leader). Returns nothing if another node won or the store did not respond.
   rt::Task<std::optional<Duration>> campaign();
-  // Renews the lease until `term` is over; steps down where the store says that the lease has ended.
+  // Renews the lease until `term` is over; steps down if the store reports that the lease has ended.
   rt::Task<void> renew_lease(std::uint64_t term);
-  // Ends the leadership at once, without a suspension, and drops the scheduler. Without effect on a follower.
+  // Ends the leadership immediately, without suspending, and destroys the scheduler. Has no effect on a follower.
   void step_down(StepDownReason reason);
 
  private:
--- a/src/service/leader_inbox.cpp
+++ b/src/service/leader_inbox.cpp
@@ -22,7 +22,8 @@
   }
 }
 
-// The entries written since `after`, which moves on; none where the store did not answer or the term is over.
+// Returns the entries written since `after` and advances `after`. Returns none if the store did not respond or the term
+// is over.
 rt::Task<std::vector<wire::StoreItem>> LeaderInbox::next_entries(std::uint64_t term, Revision& after) {
   auto watch = co_await store_.watch(wire::inbox_prefix, after, watch_hold);
   if (!ctx_.leads(term)) co_return std::vector<wire::StoreItem>{};
@@ -57,11 +58,11 @@
   co_await process_job_entry(term, std::move(id), cancel);
 }
 
-// Read until the store tells: an entry comes once, and its job was accepted.
+// Repeats the read of the job until the store responds: each entry is delivered only once, and its job was accepted.
 rt::Task<void> LeaderInbox::process_job_entry(std::uint64_t term, JobId id, bool cancel) {
   while (ctx_.scheduler->find_job(id) == nullptr) {
     JobRowStore::Read read = co_await job_rows_.read(id);
-    // The scheduler is gone where the term is over.
+    // The scheduler is destroyed if the term is over.
     if (!ctx_.leads(term)) co_return;
     if (read.job) adopter_.adopt(term, std::move(*read.job), read.version);
     if (read.outcome != ReadOutcome::failed) break;
--- a/src/service/leader_inbox.hpp
+++ b/src/service/leader_inbox.hpp
@@ -1,5 +1,5 @@
-// What other nodes leave for the leader in the store: jobs that they accepted or were asked to cancel, and how many
-// workers they cannot hand over to it.
+// Entries that other nodes write to the store for the leader: jobs that they accepted, cancellation requests, and the
+// number of stranded workers, which reach that node but not the leader.
 #pragma once
 #include <vector>
 
@@ -12,14 +12,14 @@
 
 namespace martenwall::service {
 
-// All its coroutines end where they find, after a suspension, that their term no longer leads.
+// Every coroutine returns if its term is found to be over after a suspension.
 class LeaderInbox {
  public:
   LeaderInbox(Context& ctx, StoreClient& store, JobRowStore& job_rows, JobAdopter& adopter, KeyVersions& versions,
               CleanupQueue& cleanup)
       : ctx_(ctx), store_(store), job_rows_(job_rows), adopter_(adopter), versions_(versions), cleanup_(cleanup) {}
 
-  // Watches the inbox from `after` on until `term` is over; entries up to there were read by the recovery.
+  // Watches the inbox for entries after revision `after` until `term` is over; the recovery has read the earlier ones.
   rt::Task<void> run(std::uint64_t term, Revision after);
 
  private:
--- a/src/service/leader_recovery.cpp
+++ b/src/service/leader_recovery.cpp
@@ -7,18 +7,19 @@
 namespace martenwall::service {
 
 namespace {
-// Seconds of cloud requests: enough to keep the cloud busy through slow answers, and no longer than a boot is worth.
+// Seconds of requests at the cloud's rate limit: enough to use the full rate despite slow responses, and short compared
+// with the boot time of a machine.
 constexpr double max_scale_out_backlog_s = 4;
 constexpr double min_pending_scale_outs = 4;
 }  // namespace
 
 rt::Task<Result<Revision>> LeaderRecovery::run(std::uint64_t term, Duration previous_grace) {
   const Time started_at = ctx_.now();
-  // First: it tells where rows are, and only the leader raises it.
+  // The format version comes first: it determines which keys hold rows, and only the leader raises it.
   const bool version_known = co_await format_versions_.read();
   if (!version_known || ctx_.term != term) co_return read_error(term, "the format version");
-  // A first configuration is made only while the one leads whom its maker saw leading: none can come from here on
-  // without this node's word.
+  // The initial configuration is stored on condition that the leader has not changed since the storing node read
+  // the leader key; from here on none can be stored without this node's involvement.
   const bool configured = co_await configuration_.read(true);
   if (!configured || ctx_.term != term) co_return read_error(term, "the configuration");
   auto read = co_await read_rows(term);
@@ -55,7 +56,7 @@
   };
   const bool has_range_rows = ctx_.format_version >= wire::current_format_version;
   std::vector<RowSource> sources{{wire::job_prefix, &Rows::jobs}};
-  // Below that version there are none, and every request of a failover counts.
+  // Earlier format versions have no such rows, and each saved request shortens the failover.
   if (has_range_rows) sources.push_back({wire::dependent_job_prefix, &Rows::jobs});
   sources.push_back({wire::machines_prefix, &Rows::machines});
   sources.push_back({wire::v1_tasks_prefix, &Rows::v1_tasks});
@@ -65,7 +66,7 @@
   for (const auto& source : sources) {
     auto page = co_await store_.list(source.prefix);
     if (!page || ctx_.term != term) co_return read_error(term, source.prefix);
-    rows.inbox_revision = page->revision;  // the inbox is the last part
+    rows.inbox_revision = page->revision;  // the inbox is read last
     for (auto& item : page->items) {
       versions_.record(item.key, item.version);
       (rows.*source.destination).push_back(std::move(item));
@@ -89,8 +90,8 @@
     if (objective.kind == "guarantee") options.objectives.guarantee_start_s = objective.within_s;
   }
   options.token = ctx_.leadership.token();
-  // The old key is gone, so its holder's last renewal is over; it may have gone on answering
-  // workers for its grace from then.
+  // The previous leader key is absent, so the lease of its holder has expired; the holder may have continued to answer
+  // workers for its grace period after that.
   options.previous_leader_valid_until =
       previous_grace.count() > 0 ? acquired + previous_grace + ctx_.policy.lease_margin : acquired;
   options.range_rows = ctx_.format_version >= wire::current_format_version;
@@ -101,7 +102,7 @@
   return options;
 }
 
-// False where the term ended while pieces of a job's row were read.
+// Returns false if the term ended while chunks of a job's row were read.
 rt::Task<bool> LeaderRecovery::load_jobs(std::uint64_t term, Scheduler& scheduler,
                                          const std::vector<wire::StoreItem>& items) {
   for (const auto& item : items) {
@@ -128,7 +129,7 @@
     if (!row) return unreadable(item);
     tasks.push_back(std::move(*row));
   }
-  // Of overlapping ranges the one that begins last counts: it comes first.
+  // Of overlapping ranges, the one with the highest first index takes precedence, so it is loaded first.
   std::ranges::stable_sort(tasks, [](const TaskRow& left, const TaskRow& right) {
     return left.job != right.job ? left.job < right.job : left.first > right.first;
   });
@@ -140,12 +141,12 @@
   return tasks;
 }
 
-// The jobs that are asked to be cancelled. Every entry is processed by being read here: the jobs' own rows were read
-// before.
+// Returns the jobs whose cancellation is requested. Queues each entry for removal: the rows of the jobs have already
+// been read.
 std::vector<JobId> LeaderRecovery::process_inbox(const std::vector<wire::StoreItem>& entries) {
   std::vector<JobId> cancelled;
   for (const auto& entry : entries) {
-    if (wire::is_stranded_workers_key(entry.key)) continue;  // meant for an earlier leader
+    if (wire::is_stranded_workers_key(entry.key)) continue;  // addressed to an earlier leader
     const JobId id = wire::job_of_key(entry.key);
     cleanup_.add_inbox_entry(id);
     if (wire::requests_cancellation(entry.value)) cancelled.push_back(id);
@@ -155,7 +156,7 @@
 
 void LeaderRecovery::install(std::unique_ptr<Scheduler> scheduler, const std::vector<JobId>& cancelled) {
   ctx_.scheduler = std::move(scheduler);
-  // It may have changed while the rows were read.
+  // The configuration may have changed while the rows were read.
   if (ctx_.validity.is_following()) ctx_.scheduler->configure(ctx_.configuration.teams, ctx_.policy);
   apply_row_size_limits(ctx_);
   ctx_.scheduler->finish_load(ctx_.now());
--- a/src/service/leader_recovery.hpp
+++ b/src/service/leader_recovery.hpp
@@ -1,4 +1,4 @@
-// Recovery after a failover: reads every row of the store and builds the new leader's scheduler from them.
+// Recovery after a failover: reads all rows from the store and builds the new leader's scheduler from them.
 #pragma once
 #include <memory>
 #include <vector>
@@ -14,7 +14,7 @@
 
 namespace martenwall::service {
 
-// Fills KeyVersions and the CleanupQueue of the new term on the way.
+// Also fills KeyVersions and the CleanupQueue of the new term.
 class LeaderRecovery {
  public:
   LeaderRecovery(Context& ctx, StoreClient& store, JobRowStore& job_rows, FormatVersionService& format_versions,
@@ -27,11 +27,11 @@
         versions_(versions),
         cleanup_(cleanup) {}
 
-  // Run once at the beginning of `term`, while the lease is being renewed. With a value, `Context::scheduler` is there
-  // and the revision is the one after which the inbox is to be watched. Errors: `unavailable` (the store did not
-  // answer), `unreadable` (a row's form is unknown; not knowing what may be on a machine, this node must not place
-  // anything), `failed_precondition` (the term ended meanwhile). `previous_grace`: how long the previous leader may go
-  // on answering workers after its lease expired.
+  // Runs once at the beginning of `term`, while the lease is being renewed. On success, sets `Context::scheduler` and
+  // returns the revision after which the inbox must be watched. Errors: `unavailable` (the store did not respond),
+  // `unreadable` (the format of a row is unknown; since tasks of that row may occupy a machine, this node must not
+  // place anything), `failed_precondition` (the term ended during the recovery). `previous_grace`: how long the
+  // previous leader may continue to answer workers after its lease expired.
   rt::Task<Result<Revision>> run(std::uint64_t term, Duration previous_grace);
 
  private:
--- a/src/service/leader_service.cpp
+++ b/src/service/leader_service.cpp
@@ -23,7 +23,7 @@
 rt::Task<void> LeaderService::run() {
   for (;;) {
     co_await election_.follow_leader();
-    // Those that workers reach go first.
+    // Delays the campaign of a node that workers do not reach, so that nodes that they reach campaign first.
     const Duration delay = ctx_.reachability.campaign_delay(ctx_.now());
     if (delay > Duration{0}) co_await ctx_.loop.sleep(delay);
     const auto previous_grace = co_await election_.campaign();
@@ -35,14 +35,14 @@
   }
 }
 
-// What is spawned here ends with the term.
+// The coroutines spawned here return when the term ends.
 rt::Task<void> LeaderService::serve_term(std::uint64_t term, Duration previous_grace) {
   reset_term_state();
   rt::spawn(election_.renew_lease(term));
   const auto inbox_revision = co_await recovery_.run(term, previous_grace);
   if (!inbox_revision) {
     const Error& error = inbox_revision.error();
-    // Someone has to mend such a row; an outage or another leader passes.
+    // An unreadable row needs an operator; an outage or a change of leader is temporary.
     if (error.code == ErrorCode::unreadable) ctx_.log->error("recovery failed: {}", error.message);
     if (ctx_.term == term) step_down(StepDownReason::recovery_failed);
     co_await ctx_.loop.sleep(failed_recovery_pause);
--- a/src/service/leader_service.hpp
+++ b/src/service/leader_service.hpp
@@ -1,4 +1,4 @@
-// Runs this node's leaderships one after the other: election, recovery, then the leader's tasks until the term ends.
+// Runs this node's leadership terms in sequence: election, recovery, then the leader's coroutines until the term ends.
 #pragma once
 #include <optional>
 
@@ -19,7 +19,7 @@
 
 namespace martenwall::service {
 
-// Owns the parts of a leadership; none of them knows it.
+// Owns the components of a leadership, none of which depends on this class.
 class LeaderService {
  public:
   LeaderService(Context& ctx, StoreClient& store, JobRowStore& job_rows, FormatVersionService& format_versions,
@@ -27,12 +27,12 @@
 
   // Never returns; started once by the node.
   rt::Task<void> run();
-  // Ends the leadership at once; without effect on a follower. See LeaderElection.
+  // Ends the leadership immediately; has no effect on a follower. See LeaderElection.
   void step_down(StepDownReason reason) { election_.step_down(reason); }
-  // See JobAdopter.
+  // Adds a job to the scheduler. See JobAdopter.
   void adopt_job(std::uint64_t term, Job job, KeyVersion version);
-  // Waits until the job's end is stored, and where it is cancelled the ends of all that depend on it. The end as far as
-  // it is known after `timeout`; nothing where the term ended meanwhile.
+  // Waits until the job's final state is stored and, if the job is cancelled, the final states of all its dependents.
+  // After `timeout`, returns the final state if it is known. Returns nothing if the term ended.
   rt::Task<std::optional<JobStatus>> wait_for_final_state(JobId id, Duration timeout);
 
  private:
--- a/src/service/metrics_service.cpp
+++ b/src/service/metrics_service.cpp
@@ -5,17 +5,17 @@
 namespace {
 constexpr Duration log_interval = seconds(60);
 constexpr std::size_t max_scrape_connections = 8;
-constexpr std::size_t max_pairs_in_line = 12;  // of class and team: keeps the line readable
+constexpr std::size_t max_pairs_in_line = 12;  // pairs of class and team: keeps the line readable
 }  // namespace
 
 MetricsService::MetricsService(Context& ctx, StoreClient& store, std::function<Connections()> connections)
     : ctx_(ctx), store_(store), connections_(std::move(connections)) {
   if (ctx_.policy.metrics_port == 0) return;
-  rt::HttpServer::Limits bounds;
-  bounds.max_connections = max_scrape_connections;
-  // On loopback only: whoever lets others scrape it puts that in front.
+  rt::HttpServer::Limits limits;
+  limits.max_connections = max_scrape_connections;
+  // On loopback only: operators who want remote scraping put a proxy in front.
   const rt::Endpoint endpoint{"127.0.0.1", static_cast<std::uint16_t>(ctx_.policy.metrics_port)};
-  server_ = std::make_unique<rt::HttpServer>(ctx_.loop, endpoint, std::move(bounds),
+  server_ = std::make_unique<rt::HttpServer>(ctx_.loop, endpoint, std::move(limits),
                                              [this](rt::HttpMessage m) { return answer(std::move(m)); });
 }
 
--- a/src/service/metrics_service.hpp
+++ b/src/service/metrics_service.hpp
@@ -1,4 +1,4 @@
-// What this node measures of itself: a line a minute in the log, and /metrics where a port is set for it.
+// Publishes this node's metrics: a log line per minute, and /metrics if a port is set.
 #pragma once
 #include <functional>
 #include <memory>
@@ -9,25 +9,25 @@
 
 namespace martenwall::service {
 
-// Gathers the gauges from the other services. The listener is on loopback only.
+// Collects the gauges from the other services. Listens on loopback only.
 class MetricsService {
  public:
-  // Open connections of users and workers, those of workers, and as many of these as there is room for.
+  // Open connections of users and workers, those of workers alone, and the maximum number of the latter.
   struct Connections {
     std::size_t total = 0, workers = 0, worker_capacity = 0;
   };
 
-  // Listens from here on where the policy sets a port; throws where that cannot be bound. `connections` is called with
-  // each exposition and line, not before `run`.
+  // Starts listening if the policy sets a port; throws if the port cannot be bound. `connections` is called for each
+  // exposition and log line, not before `run`.
   MetricsService(Context& ctx, StoreClient& store, std::function<Connections()> connections);
 
-  // Serves /metrics and writes the lines; runs as long as the node.
+  // Serves /metrics and writes the log lines; runs as long as the node.
   rt::Task<void> run();
 
-  // The port that it listens on, 0 where none is set.
+  // The listening port; 0 if none is set.
   [[nodiscard]] std::uint16_t port() const { return server_ ? server_->port() : std::uint16_t{0}; }
 
-  // This node's state now.
+  // Returns this node's current state.
   [[nodiscard]] metrics::Gauges gauges();
 
  private:
@@ -36,7 +36,7 @@
   Context& ctx_;
   StoreClient& store_;
   std::function<Connections()> connections_;
-  std::unique_ptr<rt::HttpServer> server_;  // nothing where no port is set
+  std::unique_ptr<rt::HttpServer> server_;  // null if no port is set
 };
 
 }  // namespace martenwall::service
--- a/src/service/node.cpp
+++ b/src/service/node.cpp
@@ -8,28 +8,30 @@
 
 constexpr std::string_view jobs_path = "/api/jobs";
 
-rt::HttpServer::Limits bounds_of(const config::Settings& s) {
-  rt::HttpServer::Limits b;
-  // Leave sockets for the state service, the cloud, workers and the other nodes.
-  const std::size_t reserved = std::min<std::size_t>(150 + s.max_connections / 10, s.max_connections / 3);
-  b.max_connections = s.max_connections - reserved;
-  // A worker that is well speaks again sooner; a silent one's connection is better given to another.
-  b.bulk_path = "/agent/";
-  b.bulk_idle_timeout = std::max(seconds(15), seconds(s.workers.heartbeat_interval_s * 2.5));
-  return b;
+rt::HttpServer::Limits connection_limits(const config::Settings& settings) {
+  rt::HttpServer::Limits limits;
+  // Reserves sockets for the state service, the cloud, workers and the other nodes.
+  const std::size_t reserved = std::min<std::size_t>(150 + settings.max_connections / 10, settings.max_connections / 3);
+  limits.max_connections = settings.max_connections - reserved;
+  // A healthy worker sends its next heartbeat within this time; an idle connection is closed to free it for another
+  // one.
+  limits.bulk_path = "/agent/";
+  limits.bulk_idle_timeout = std::max(seconds(15), seconds(settings.workers.heartbeat_interval_s * 2.5));
+  return limits;
 }
 
-// Users keep a sixth of the connections, whatever workers do.
-std::size_t max_worker_connections(const rt::HttpServer::Limits& b) {
-  return b.max_connections - std::min(b.max_connections, std::max<std::size_t>(16, b.max_connections / 6));
+// Reserves a sixth of the connections for users, and at least 16.
+std::size_t max_worker_connections(const rt::HttpServer::Limits& limits) {
+  return limits.max_connections -
+         std::min(limits.max_connections, std::max<std::size_t>(16, limits.max_connections / 6));
 }
 
-// A user gives up after 60 s and must hear of its job before; it asks again as often as it is told.
+// Users give up after 60 s and retry after the time that a response states, so several retries must fit into that time.
 constexpr int max_retry_after_s = 8;
 
-// A submission costs one change of the state service, which all nodes share.
-double retries_per_second(const config::Settings& s) {
-  return s.state_write_rps / static_cast<double>(s.peers.size() + 1);
+// Each submission costs one change of the state service, whose write rate all nodes share.
+double retries_per_second(const config::Settings& settings) {
+  return settings.state_write_rps / static_cast<double>(settings.peers.size() + 1);
 }
 
 rt::HttpResponse empty_response(int status) { return {status, "{}", {}, false}; }
@@ -38,7 +40,7 @@
 
 Node::Node(rt::Loop& loop, config::Settings settings, Policy policy, std::shared_ptr<spdlog::logger> log)
     : ctx_(loop, std::move(settings), policy, std::move(log)),
-      max_worker_connections_(max_worker_connections(bounds_of(ctx_.settings))),
+      max_worker_connections_(max_worker_connections(connection_limits(ctx_.settings))),
       retry_after_(retries_per_second(ctx_.settings), max_retry_after_s),
       store_(ctx_),
       job_rows_(ctx_, store_),
@@ -46,7 +48,7 @@
       configuration_(ctx_, store_),
       leader_service_(ctx_, store_, job_rows_, format_versions_, configuration_),
       workers_(ctx_, leader_service_),
-      peers_(ctx_, [this](wire::PeerRequest r) { return route_peer(std::move(r)); }),
+      peers_(ctx_, [this](wire::PeerRequest request) { return route_peer(std::move(request)); }),
       cloud_(ctx_, store_, peers_),
       job_reader_(ctx_, store_, leader_service_, job_rows_),
       inbox_writer_(ctx_, store_),
@@ -62,18 +64,19 @@
                        [this] {
                          return relay::NodeLoad{server_.bulk_connections(), max_worker_connections_};
                        }),
-      server_(loop, *rt::Endpoint::parse(ctx_.settings.listen), bounds_of(ctx_.settings),
-              [this](rt::HttpMessage m) { return route(std::move(m)); }),
+      server_(loop, *rt::Endpoint::parse(ctx_.settings.listen), connection_limits(ctx_.settings),
+              [this](rt::HttpMessage message) { return route(std::move(message)); }),
       metrics_(ctx_, store_, [this] {
         return MetricsService::Connections{server_.open_connections(), server_.bulk_connections(),
                                            max_worker_connections_};
       }) {}
 
 void Node::start() {
-  ctx_.loop.on_stall([this](const rt::Loop::Stall& s) {
-    ctx_.log->info("process stalled seconds={:.1f} state={}", to_seconds(s.length), name_of(ctx_.leadership.state()));
+  ctx_.loop.on_stall([this](const rt::Loop::Stall& stall) {
+    ctx_.log->info("process stalled seconds={:.1f} state={}", to_seconds(stall.length),
+                   name_of(ctx_.leadership.state()));
   });
-  // Detached: they run as long as the process, whose loop never returns; the node owns what they work on.
+  // Detached: these coroutines run for the lifetime of the process; the node owns the objects they use.
   rt::spawn(format_versions_.run());
   rt::spawn(configuration_.run());
   rt::spawn(configuration_changes_.run());
@@ -101,7 +104,7 @@
 
 rt::Task<rt::HttpResponse> Node::route(rt::HttpMessage request) {
   rt::HttpResponse response = co_await route_path(std::move(request));
-  // After an outage all users who were refused would else come back within the same second.
+  // Without pacing, all users that were rejected during an outage would retry within the same second.
   if (response.retry_after_s) response.retry_after_s = retry_after_.next(ctx_.loop.update_time());
   co_return response;
 }
--- a/src/service/node.hpp
+++ b/src/service/node.hpp
@@ -1,4 +1,4 @@
-// One controller node: its services and their routes.
+// A controller node: its services and the routing of requests to them.
 #pragma once
 #include "core/leadership/retry_after.hpp"
 #include "runtime/http_server.hpp"
@@ -26,21 +26,21 @@
 
 namespace martenwall::service {
 
-// Constructs the services, each after those that it works with, and connects them to the two listeners. Everything runs
-// on the thread of the given loop.
+// Constructs the services in order of their dependencies and connects them to the listeners for users and for peers.
+// Everything runs on the thread of the given loop.
 class Node {
  public:
-  // The settings and the policy must have passed config::check. Throws where a listener's address cannot be bound.
+  // The settings and the policy must have passed config::check. Throws if a listener's address cannot be bound.
   Node(rt::Loop& loop, config::Settings settings, Policy policy, std::shared_ptr<spdlog::logger> log);
-  // Starts the services; returns at once. Called once; the loop runs them then.
+  // Starts the services and returns immediately; the loop then runs them. Must be called only once.
   void start();
   // Starts the services and runs the loop.
   [[noreturn]] void run();
-  // The port for users and workers, also where the settings leave the choice to the system.
+  // The port for users and workers; the one that the system chose if the settings specify port 0.
   [[nodiscard]] std::uint16_t users_port() const { return server_.port(); }
   // The port for other nodes.
   [[nodiscard]] std::uint16_t peers_port() const { return peers_.port(); }
-  // For tests and the scale run, which look at the node's state.
+  // Read access to the node's state for tests and the scale run.
   [[nodiscard]] const Context& context() const { return ctx_; }
 
  private:
@@ -50,15 +50,15 @@
   rt::Task<rt::HttpResponse> route_job(const std::string& method, std::string rest);
 
   Context ctx_;
-  const std::size_t max_worker_connections_;  // connections that workers may hold
-  RetryAfterPacer retry_after_;               // of users that were refused
+  const std::size_t max_worker_connections_;  // connections available to workers
+  RetryAfterPacer retry_after_;               // spreads the retries of rejected users
   StoreClient store_;
   JobRowStore job_rows_;
   FormatVersionService format_versions_;
   ConfigurationService configuration_;
   LeaderService leader_service_;
   WorkerService workers_;
-  PeerService peers_;  // its handler refers to services below, and is not called before `start`
+  PeerService peers_;  // its handler uses services declared below and is not called before `start`
   CloudService cloud_;
   JobReader job_reader_;
   InboxWriter inbox_writer_;
--- a/src/service/peer_link.hpp
+++ b/src/service/peer_link.hpp
@@ -1,4 +1,4 @@
-// Frames between controller nodes, and between an operator's command and a node, on a socket.
+// Frames on a socket, between controller nodes and between an operator's command and a node.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,11 +8,12 @@
 
 namespace martenwall::service {
 
-// The payload of the next frame; `unread` holds what was read beyond it. Nothing at an error, the end or the deadline.
+// Returns the payload of the next frame; `unread` holds bytes that were read beyond it. Nothing on an error, at the end
+// of the stream, or at the deadline.
 rt::Task<std::optional<std::string>> read_frame(rt::Socket& socket, std::string& unread, Time deadline);
 
-// One request over a connection of its own; nothing where no reply came by the deadline. The request may have been
-// executed all the same.
+// Sends one request over a connection of its own; nothing if no reply arrived by the deadline. The request may have
+// been executed anyway.
 rt::Task<std::optional<wire::PeerReply>> call_once(rt::Loop& loop, rt::Endpoint endpoint, std::string frame,
                                                    Time deadline);
 
--- a/src/service/peer_request_handler.cpp
+++ b/src/service/peer_request_handler.cpp
@@ -7,7 +7,7 @@
 namespace martenwall::service {
 
 namespace {
-// A reply without anything to tell beside its status.
+// Returns a reply that consists of its status only.
 wire::PeerReply empty_reply(int status) { return {status, "{}", {}}; }
 }  // namespace
 
@@ -26,7 +26,7 @@
   co_return wire::PeerReply{response.status, response.body, {}};
 }
 
-// Says whether this node reaches the store, and what it does with heartbeats that are forwarded to it.
+// Reports whether this node reaches the store, and how it treats forwarded heartbeats.
 wire::PeerReply PeerRequestHandler::answer_ping() const {
   const bool leads = ctx_.leadership.state() != LeaderState::follower;
   const auto role = leads ? wire::accepts_heartbeats : wire::forwards_heartbeats;
--- a/src/service/peer_request_handler.hpp
+++ b/src/service/peer_request_handler.hpp
@@ -1,4 +1,4 @@
-// The leader's side of users' requests that other nodes forward.
+// Handles, at the leader, users' requests that other nodes forward.
 #pragma once
 #include "service/cancellation_service.hpp"
 #include "service/context.hpp"
@@ -8,15 +8,15 @@
 
 namespace martenwall::service {
 
-// Answers other nodes' pings, status queries, submissions and cancellations. All but pings are answered with 421 by a
-// node that does not lead; the asking node then turns to the store.
+// Answers other nodes' pings, status queries, submissions and cancellations. A node that does not lead answers all but
+// pings with 421; the requesting node then uses the store.
 class PeerRequestHandler {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this handler.
   PeerRequestHandler(Context& ctx, JobReader& reader, SubmissionService& submissions,
                      CancellationService& cancellations);
 
-  // Called by Node for the verbs that no other service takes.
+  // Called by Node for the verbs that no other service handles.
   rt::Task<wire::PeerReply> handle(wire::PeerRequest request);
 
  private:
--- a/src/service/peer_service.cpp
+++ b/src/service/peer_service.cpp
@@ -7,9 +7,10 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t max_connections = 64;      // of other nodes: some for each, beside the users' and workers'
+constexpr std::size_t max_connections =
+    64;  // from other nodes: several for each, in addition to those of users and workers
 constexpr std::size_t max_idle_connections = 8;  // to each other node
-constexpr Duration idle_limit = seconds(70);     // a connection that is silent for so long is closed
+constexpr Duration idle_limit = seconds(70);     // idle connections are closed after this time
 constexpr Duration reply_write_timeout = seconds(5);
 constexpr Duration leader_retry_delay = seconds(1);  // users' requests go to the store meanwhile
 constexpr Duration ping_interval = seconds(0.7);
@@ -24,7 +25,7 @@
   for (;;) {
     auto socket = co_await listener_.accept();
     if (!socket || open_connections_ >= max_connections) continue;
-    // Detached: owns its socket, ends when the other side closes it or is silent for too long.
+    // Detached: owns its socket, ends when the other side closes it or is idle for too long.
     rt::spawn(serve_connection(std::move(*socket)));
   }
 }
@@ -78,7 +79,8 @@
       add_idle_connection(addr, std::move(*socket));
       co_return reply;
     }
-    // A kept connection may have died meanwhile, and the others with it; every request of this link can be repeated.
+    // An idle connection may have been closed by the other side, and the others with it. Every request over this link
+    // can be repeated.
     if (ctx_.now() >= deadline) co_return std::nullopt;
     socket.reset();
     idle_connections_[addr].clear();
@@ -96,8 +98,8 @@
 }
 
 rt::Task<void> PeerService::ping(std::size_t peer) {
-  // Named, not made within the co_await: GCC 12 destroys an aggregate made there twice (found by inc-4c3d,
-  // in which all nodes ended as soon as the state service failed).
+  // A named variable, because GCC 12 destroys an aggregate twice that is created within the co_await expression (found
+  // by inc-4c3d, in which all nodes ended as soon as the state service failed).
   const wire::PeerRequest request{wire::PeerVerb::ping, "", "", {}};
   std::string addr = ctx_.settings.peers[peer].addr;
   std::string frame = wire::encode_frame(request);
@@ -157,7 +159,8 @@
   const Time deadline = ctx_.now() + timeout;
   auto reply = co_await call(peer->addr, wire::encode_frame(request), deadline);
   if (!reply) {
-    // Refused or silent: for a moment the store is asked instead, so that users need not wait for it each time.
+    // Refused or no reply: the store is used instead for a while, so that users do not wait for the leader on each
+    // request.
     unreachable_leader_ = leader;
     ctx_.leader_link_failed_at = ctx_.now();
     leader_retry_at_ = ctx_.now() + leader_retry_delay;
--- a/src/service/peer_service.hpp
+++ b/src/service/peer_service.hpp
@@ -1,4 +1,4 @@
-// Requests between controller nodes, over kept connections.
+// Requests between controller nodes over persistent connections.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,48 +10,49 @@
 
 namespace martenwall::service {
 
-// Calls other nodes and serves their calls. A call's result is empty where no reply came in time; the request may have
-// been executed all the same, so that only requests that can be repeated go this way.
+// Calls other nodes and serves their calls. A call's result is empty if no reply arrived in time. The request may have
+// been executed anyway, so only repeatable requests may be sent this way.
 class PeerService {
  public:
+  // Answers a request of another node.
   using Handler = std::function<rt::Task<wire::PeerReply>(wire::PeerRequest)>;
 
-  // Listens at `cluster_listen` of the settings from here on. `handler` answers other nodes' requests; it is called
-  // only after `serve` was started, so that what it refers to may be constructed after this.
+  // Starts listening at `cluster_listen` of the settings. `handler` answers other nodes' requests; it is first called
+  // after `serve` has been started, so the objects that it refers to may be constructed later than this one.
   PeerService(Context& ctx, Handler handler);
 
   // Accepts other nodes' connections; runs as long as the node.
   rt::Task<void> serve();
 
-  // Nothing where the leader is unknown, unreachable or does not lead any more. After a failure the leader is not
-  // called for a second.
+  // Calls the leader. The result is empty if the leader is unknown or unreachable, or has lost the leadership. After a
+  // failure the leader is not called for 1 s.
   rt::Task<std::optional<wire::PeerReply>> call_leader(wire::PeerRequest request, Duration timeout);
 
-  // The reply of any other node that is able to give one; the node that was last time is called first. `timeout` counts
-  // for each node.
+  // Returns the reply of any other node that can give one, starting with the node that replied last. `timeout` applies
+  // to each node.
   rt::Task<std::optional<wire::PeerReply>> call_any_other(wire::PeerRequest request, Duration timeout);
 
-  // That node's reply, whatever it is; nothing of this is remembered.
+  // Returns the reply of that node, whatever its status; does not affect later calls.
   rt::Task<std::optional<wire::PeerReply>> call_node(std::string node, wire::PeerRequest request, Duration timeout);
 
-  // The leader could not be reached a moment ago, so that `call_leader` does not try now.
+  // Returns whether the leader was unreachable within the last second, so that `call_leader` does not try it.
   [[nodiscard]] bool leader_unreachable() const {
     return ctx_.now() < leader_retry_at_ && unreachable_leader_ == ctx_.leader;
   }
 
-  // Pings all others while this node does not reach the store; runs as long as the node.
+  // Pings all other nodes while this node does not reach the store; runs as long as the node.
   rt::Task<void> run_pings();
 
-  // Where others could serve users while this node does not reach the store, by their latest pings.
+  // Which other nodes could serve users while this node does not reach the store, by their latest pings.
   enum class Availability {
     unreachable,         // no other node answers
-    none_reaches_store,  // others answer, and none reaches the store
+    none_reaches_store,  // others answer, but none reaches the store
     serving,             // another node reaches the store
   };
-  // Looks at the pings of the last seconds only.
+  // Considers only the pings of the last seconds.
   [[nodiscard]] Availability availability() const;
 
-  // The port that it listens on, also where the settings leave the choice to the system.
+  // The listening port, also if the settings let the system choose it.
   [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
 
  private:
@@ -71,10 +72,10 @@
   Context& ctx_;
   Handler handler_;
   rt::Listener listener_;
-  std::size_t open_connections_ = 0;      // of other nodes to this one
-  std::size_t last_responsive_peer_ = 0;  // that answered `call_any_other`
-  std::vector<PingResult> ping_results_;  // latest, by peer
-  std::string unreachable_leader_;        // the leader that could not be reached lately
+  std::size_t open_connections_ = 0;      // from other nodes to this one
+  std::size_t last_responsive_peer_ = 0;  // the last one that answered `call_any_other`
+  std::vector<PingResult> ping_results_;  // latest result of each peer
+  std::string unreachable_leader_;        // the last leader that was unreachable
   Time leader_retry_at_{};
   std::map<std::string, std::vector<rt::Socket>> idle_connections_;  // from this node, by address
 };
--- a/src/service/reachability_service.cpp
+++ b/src/service/reachability_service.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 constexpr Duration check_interval = seconds(0.5);
-constexpr std::array<double, 3> logged_fractions{0.5, 0.9, 0.99};  // not 1: some of the machines are dead at any time
-constexpr Duration failover_observation_time = seconds(90);        // later heartbeats say nothing of the failover
+constexpr std::array<double, 3> logged_fractions{0.5, 0.9, 0.99};  // not 1: some machines are dead at any time
+constexpr Duration failover_observation_time = seconds(90);        // later heartbeats are unrelated to the failover
 constexpr Duration notify_timeout = seconds(0.5);
 constexpr Duration inbox_write_timeout = seconds(1);
-constexpr Duration inbox_write_interval = seconds(2);  // each note is a change of the store
+constexpr Duration inbox_write_interval = seconds(2);  // each entry is a write to the store
 }  // namespace
 
 ReachabilityService::ReachabilityService(Context& ctx, StoreClient& store, LeaderService& leader_service,
@@ -37,7 +37,7 @@
   }
 }
 
-// Over the peer link, or by a note where the leader cannot be reached.
+// Reports over the peer link, or by an inbox entry in the store if the leader cannot be reached.
 rt::Task<void> ReachabilityService::notify_leader_of_stranded(std::size_t stranded) {
   wire::PeerRequest request{wire::PeerVerb::stranded, ctx_.settings.node, std::to_string(stranded), {}};
   const auto reply = co_await peers_.call_leader(std::move(request), notify_timeout);
--- a/src/service/reachability_service.hpp
+++ b/src/service/reachability_service.hpp
@@ -1,4 +1,4 @@
-// Which nodes the workers reach, exchanged between the nodes; a leader that they do not reach steps down.
+// Exchanges between the nodes which of them the workers reach; a leader that workers do not reach steps down.
 #pragma once
 #include "service/context.hpp"
 #include "service/leader_service.hpp"
@@ -7,17 +7,18 @@
 
 namespace martenwall::service {
 
-// A worker is stranded where the nodes that it reaches send it to a leader that it does not reach. A follower counts
-// the stranded workers that it sees and tells the leader; the leader weighs them against those that report to it.
+// A worker is stranded if the nodes that it reaches redirect it to a leader that it does not reach. A follower counts
+// the stranded workers that it sees and reports them to the leader, which compares them with the workers that report to
+// it.
 class ReachabilityService {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this service.
   ReachabilityService(Context& ctx, StoreClient& store, LeaderService& leader_service, PeerService& peers);
 
-  // Both sides, by this node's role; runs as long as the node.
+  // Runs the follower's or the leader's side, by this node's role; runs as long as the node.
   rt::Task<void> run();
 
-  // The leader's side: another node's count. 421 where this node does not lead, 400 where it cannot be read.
+  // Handles another node's count at the leader: 421 if this node does not lead, 400 if the count cannot be parsed.
   wire::PeerReply on_stranded_report(const wire::PeerRequest& request);
 
  private:
@@ -30,13 +31,13 @@
   LeaderService& leader_service_;
   PeerService& peers_;
   Time next_inbox_write_{};
-  bool stranded_logged_ = false;  // one line for as long as workers are stranded here
-  // How many of the machines that were up have reported since this node began to lead.
+  bool stranded_logged_ = false;  // logged once while workers are stranded here
+  // How many of the machines that were up have reported since this node became the leader.
   struct Failover {
     std::uint64_t term = 0;
     Time began{};
     std::size_t machines = 0;
-    std::size_t next_fraction = 0;  // of those that are logged
+    std::size_t next_fraction = 0;  // index of the next fraction to log
   };
   Failover failover_;
 };
--- a/src/service/status_query_service.cpp
+++ b/src/service/status_query_service.cpp
@@ -10,15 +10,14 @@
 using Source = metrics::LookupSource;
 
 namespace {
-constexpr Duration batching_delay = seconds(0.015);  // polls wait so long for others to go with them
-constexpr Duration store_batching_delay =
-    seconds(0.2);                                       // the same without a leader: the store's request rate is scarce
-constexpr Duration leader_timeout = seconds(0.6);       // leaves time of the lookup's 1.5 s for the store
-constexpr Duration compare_timeout = seconds(0.6);      // of the transaction that asks for many jobs' keys
-constexpr Duration stall_tolerance = seconds(0.2);      // a wait that ends later than this was a stall of the process
-constexpr Duration idle_check_interval = seconds(0.5);  // `run` looks at the queue at least so often
+constexpr Duration batching_delay = seconds(0.015);      // how long polls wait for others to share their batch
+constexpr Duration store_batching_delay = seconds(0.2);  // without a leader: the store's request rate is scarce
+constexpr Duration leader_timeout = seconds(0.6);        // leaves part of the lookup's 1.5 s for the store
+constexpr Duration compare_timeout = seconds(0.6);       // for the transaction that compares the keys of many jobs
+constexpr Duration stall_tolerance = seconds(0.2);       // a wait that ends later than this indicates a process stall
+constexpr Duration idle_check_interval = seconds(0.5);   // `run` checks the queue at least this often
 constexpr std::size_t max_batches_in_flight = 4;
-constexpr std::size_t max_queued_queries = 2000;  // more could not be answered within a user's wait
+constexpr std::size_t max_queued_queries = 2000;  // more could not be answered within a user's timeout
 constexpr std::size_t keys_per_query = 3;         // active, placed, final
 }  // namespace
 
@@ -47,16 +46,17 @@
   }
   const Time deadline = ctx_.now() + lookup_timeout;
   while (!pending_query->lookup && ctx_.now() < deadline) co_await pending_query->answered.wait(deadline);
-  // Meanwhile this node may have come to know the job's end: nothing older may be told then.
+  // This node may have learned of the job's end during the wait: an older state must not be reported then.
   if (const auto known = reader_.from_memory(id)) co_return *known;
-  // Nor what was found before this process stood still: the job may have ended, and its user been told, meanwhile.
+  // A result from before a process stall must not be reported either: the job may have ended meanwhile, and its user
+  // may have been notified.
   if (ctx_.loop.update_time() > deadline + stall_tolerance) co_return JobLookup{};
   co_return pending_query->lookup.value_or(JobLookup{});
 }
 
-// One question per job waits to be sent, however many polls ask for it. One that was sent already is not shared: its
-// answer may be older than this poll, whose user may have been told of the job's end in between. Null where too many
-// wait.
+// Adds the job's query to the queue. All polls of one job share the query that is waiting to be sent. A query that was
+// already sent is not shared: its answer may be older than this poll, whose user may have been told of the job's end in
+// between. Returns null if the queue is full.
 std::shared_ptr<StatusQueryService::StatusQuery> StatusQueryService::enqueue(const JobId& id) {
   if (const auto queued = queued_by_job_.find(id); queued != queued_by_job_.end()) return queued->second;
   if (queue_.size() >= max_queued_queries) return nullptr;
@@ -85,8 +85,7 @@
     }
     co_await ctx_.loop.sleep(peers_.leader_unreachable() ? store_batching_delay : batching_delay);
     ++batches_in_flight_;
-    rt::spawn(
-        answer_batch(dequeue_batch()));  // detached: owns its queries, ends by itself as each of its reads times out
+    rt::spawn(answer_batch(dequeue_batch()));  // detached: owns its queries and ends once its reads time out
   }
 }
 
@@ -129,7 +128,7 @@
   co_return unanswered;
 }
 
-// The key that exists once a task of the job was placed.
+// Returns the key that exists once a task of the job has been placed.
 std::string StatusQueryService::placement_key(const JobId& id) const {
   return ctx_.format_version >= wire::current_format_version ? wire::tasks_key(id, 0) : wire::v1_tasks_key(id, 0);
 }
@@ -138,7 +137,7 @@
   return std::max<std::size_t>(1, max_compared_keys(ctx_.limits) / keys_per_query - 1);
 }
 
-// As many at a time as a comparison may name, which may turn out to be fewer than before.
+// Resolves the queries in chunks of as many jobs as one comparison may name. That limit may shrink between chunks.
 rt::Task<void> StatusQueryService::answer_from_store(StatusQueries batch) {
   auto next = batch.cbegin();
   while (next != batch.cend()) {
@@ -148,15 +147,15 @@
     StatusQueries chunk{next, end};
     KeyComparison compared = co_await compare(chunk);
     if (compared.outcome == KeyComparison::Outcome::too_many_keys) continue;
-    // What was compared under one leadership means nothing under a later one.
+    // A comparison made under an earlier leadership is not valid in a later one.
     if (ctx_.term != term) compared = KeyComparison{};
     co_await answer_from_comparison(std::move(chunk), std::move(compared));
     next = end;
   }
 }
 
-// One transaction that only compares tells which of the jobs are active, placed, or over. A dependent job is looked up
-// by itself: its dependencies must be looked at too.
+// Finds out with one compare-only transaction which jobs are active, placed, or finished. A dependent job is looked up
+// separately, because its dependencies must be checked too.
 rt::Task<KeyComparison> StatusQueryService::compare(StatusQueries batch) {
   std::vector<std::string> keys;
   for (const auto& query : batch) {
@@ -167,8 +166,8 @@
   co_return co_await store_.find_existing(std::move(keys), compare_timeout);
 }
 
-// Those that the comparison shows to be active are answered at once, before any further wait: it is then the last that
-// was looked at but this node's memory. The rest is read row by row, which takes time.
+// Jobs that the comparison shows to be active are answered first, before any further wait, so that no read but that of
+// this node's memory comes after the comparison. The remaining jobs are read row by row, which takes time.
 rt::Task<void> StatusQueryService::answer_from_comparison(StatusQueries batch, KeyComparison compared) {
   StatusQueries remaining;
   for (const auto& query : batch) {
@@ -192,9 +191,10 @@
   return known.has_value();
 }
 
-// The key of an unfinished job without dependencies exists from its acceptance to the transaction that stores its end,
-// so that it was active at the moment of the comparison (docs/safety.md, "Status by compared keys"). A leader has to
-// know such a job and reads its row to adopt it.
+// Resolves the query if the comparison shows an active job. The key of an unfinished job without dependencies exists
+// from its acceptance until the transaction that stores its end, so the job was active at the moment of the comparison
+// (docs/safety.md, "Status by compared keys"). A leader does not use this result: it must know such a job, and reads
+// its row to adopt it.
 bool StatusQueryService::resolve_active(StatusQuery& query, const KeyComparison& compared) {
   const bool active = compared.contains(wire::job_key(query.id)) && !compared.contains(wire::final_key(query.id));
   if (!active || ctx_.has_valid_lease()) return false;
@@ -212,12 +212,12 @@
     co_return;
   }
   JobLookup lookup = co_await reader_.read_final(query.id);
-  // An end is never removed. That it is not there any more contradicts the comparison and proves nothing.
+  // A final state is never removed. Its absence contradicts the comparison and proves nothing.
   if (lookup.existence == Existence::absent) lookup = JobLookup{};
   resolve(query, std::move(lookup), Source::compared_final);
 }
 
-// The leader did not know of a job that is in the store and not over.
+// Announces a job that is in the store and not finished, but that the leader did not know.
 void StatusQueryService::announce_if_active(const StatusQuery& query) {
   const bool active = query.lookup->exists() && !is_final(query.lookup->status.phase);
   if (active && query.unknown_to_leader) inbox_.announce_job(query.id);
--- a/src/service/status_query_service.hpp
+++ b/src/service/status_query_service.hpp
@@ -1,4 +1,4 @@
-// Polls for jobs' states, answered many at a time.
+// Answers users' polls of job states in batches.
 #pragma once
 #include <memory>
 #include <optional>
@@ -15,27 +15,28 @@
 
 namespace martenwall::service {
 
-// Answers polls from memory, or else gathers them for some milliseconds, asks the leader for all of them with one
-// message, and the store for those that the leader does not answer.
+// Answers polls from memory if possible. Otherwise collects them for some milliseconds, sends the leader one request
+// for the whole batch, and reads the store for the jobs that the leader does not answer.
 class StatusQueryService {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this service.
   StatusQueryService(Context& ctx, StoreClient& store, PeerService& peers, JobReader& reader, InboxWriter& inbox);
 
-  // A user's GET /api/jobs/{id}: 200, 404, or 503 within the lookup's timeout. Never older than the poll itself.
+  // Handles a user's GET /api/jobs/{id}: 200, 404, or 503 within the lookup timeout. The state is never older than the
+  // poll.
   rt::Task<rt::HttpResponse> status(std::string id);
 
-  // Sends the gathered polls on; runs as long as the node.
+  // Sends the queued queries in batches; runs as long as the node.
   rt::Task<void> run();
 
  private:
-  // A question that one or more polls wait for. Shared by them and by the batch it goes with, so that it outlives polls
-  // that have given up.
+  // A query that one or more polls wait for. Shared by the polls and the batch, so that it outlives polls that have
+  // timed out.
   struct StatusQuery {
     StatusQuery(rt::Loop& loop, JobId job) : id(std::move(job)), answered(loop) {}
     JobId id;
     std::optional<JobLookup> lookup;
-    bool unknown_to_leader = false;  // the leader said so
+    bool unknown_to_leader = false;  // the leader answered that it does not know the job
     rt::Event answered;
   };
   using StatusQueries = std::vector<std::shared_ptr<StatusQuery>>;
@@ -63,9 +64,9 @@
   JobReader& reader_;
   InboxWriter& inbox_;
   StatusQueries queue_;                                                    // not sent yet, in order of arrival
-  std::unordered_map<JobId, std::shared_ptr<StatusQuery>> queued_by_job_;  // the same, by job
+  std::unordered_map<JobId, std::shared_ptr<StatusQuery>> queued_by_job_;  // the queries of `queue_`, by job
   std::size_t batches_in_flight_ = 0;
-  rt::Event queue_changed_;  // a question came, or a batch was answered
+  rt::Event queue_changed_;  // a query was added, or a batch was answered
 };
 
 }  // namespace martenwall::service
--- a/src/service/step_down_reason.hpp
+++ b/src/service/step_down_reason.hpp
@@ -1,20 +1,20 @@
-// Why a leader gives up its leadership.
+// Reasons for which a leader steps down.
 #pragma once
 #include <cstdint>
 #include <string_view>
 
 namespace martenwall::service {
 
-// Log lines have it as `reason=`.
+// Printed as `reason=` in log lines.
 enum class StepDownReason : std::uint8_t {
-  lease_expired,         // the store says that the lease has ended
-  higher_token_seen,     // a worker has heard from a leader with a higher fencing token
-  workers_unreachable,   // workers reach another node, not this one
+  lease_expired,         // the store reported that the lease has ended
+  higher_token_seen,     // a worker has received a response from a leader with a higher fencing token
+  workers_unreachable,   // more workers reach another node than this one
   recovery_failed,       // the rows could not be read after the failover
   transaction_conflict,  // the conditions of a fenced transaction failed
 };
 
-// The reason as log lines have it.
+// Returns the name used in log lines.
 constexpr std::string_view name_of(StepDownReason reason) {
   switch (reason) {
     case StepDownReason::lease_expired:
--- a/src/service/store_client.cpp
+++ b/src/service/store_client.cpp
@@ -6,38 +6,39 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t max_response_bytes = 16 * 1024 * 1024;  // a page of the largest rows is below
+constexpr std::size_t max_response_bytes = 16 * 1024 * 1024;  // larger than a page of the largest rows
 constexpr std::size_t max_connections = 24;
 constexpr std::size_t max_idle_connections = 12;
-constexpr std::size_t max_logged_answer_bytes = 200;  // bytes of an answer that was not understood
+constexpr std::size_t max_logged_answer_bytes = 200;  // of an unreadable response
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
 constexpr int status_not_found = 404;
 constexpr int status_conflict = 409;
-constexpr int status_gone = 410;  // the store has forgotten the changes that were asked for
+constexpr int status_gone = 410;  // the store has discarded the requested changes
 constexpr int status_too_many_requests = 429;
 constexpr int status_unavailable = 503;
 constexpr Duration admission_timeout = seconds(2);
 constexpr Duration page_timeout = seconds(2);
 constexpr Duration lease_timeout = seconds(1);
-constexpr Duration watch_answer_allowance = seconds(1.5);  // beyond the time that the store holds the request
-constexpr Duration min_request_timeout{10000};             // us; where waiting for admission took all the time
-// Shares of the state service's rates. Mostly the leader does all the work; where others have to write for
-// their users, it leaves them room.
+constexpr Duration watch_answer_allowance = seconds(1.5);  // in addition to the time that the store holds the request
+constexpr Duration min_request_timeout{10000};  // us; applies if waiting for admission took the whole timeout
+// Shares of the state service's rates. The leader usually does all the work; if other nodes have to write for their
+// users, it reduces its share.
 constexpr double leader_share = 0.86;
 constexpr double sharing_leader_share = 0.62;
-constexpr double follower_share = 0.06;              // the leader takes what users want
-constexpr double isolated_follower_share = 0.18;     // it cannot be reached
-constexpr double leaderless_share = 0.3;             // there is none
-constexpr Duration peer_write_window = seconds(10);  // after the last sign that others write
-constexpr double poll_reserve = 0.4;                 // of this node's share of requests: polls leave it for submissions
-constexpr double unused_write_fill = 0.3;            // of the bucket: above, deferrable writes may go
+constexpr double follower_share = 0.06;              // the leader accepts the users' requests
+constexpr double isolated_follower_share = 0.18;     // a follower that cannot reach the leader
+constexpr double leaderless_share = 0.3;             // no node leads
+constexpr Duration peer_write_window = seconds(10);  // after the last sign that other nodes write
+constexpr double poll_reserve = 0.4;       // part of this node's share of requests that polls leave for submissions
+constexpr double unused_write_fill = 0.3;  // fill level of the bucket above which deferrable writes are allowed
 
 bool has_status(const rt::HttpResult& answer, int status) {
   return answer.outcome == rt::Outcome::answered && answer.status == status;
 }
 
-// The parsed body of an answer with status 200; nothing for any other answer, none, or a body of another form.
+// Returns the parsed body of a response with status 200. Returns nothing for any other response, if there is none, or
+// if the body cannot be parsed.
 template <class T>
 std::optional<T> parse_if_ok(const rt::HttpResult& answer, std::optional<T> (*parse)(const std::string& body)) {
   if (!answer.ok()) return std::nullopt;
@@ -77,8 +78,8 @@
   }
 }
 
-// Of transactions that each took what there was whenever there was some, one of many changes would never find enough
-// at once, as long as small ones come (rows waited up to 53 s in inc-d2ba).
+// Admits `fifo` transactions in their order of arrival. If each transaction took tokens as soon as enough were
+// available for it, small ones would starve one with many changes (rows waited up to 53 s in inc-d2ba).
 rt::Task<bool> StoreClient::admit_in_order(double writes, Duration timeout) {
   const Time until = ctx_.now() + timeout;
   const auto ticket = next_ticket_++;
@@ -142,9 +143,9 @@
     const bool more = page->more && !page->items.empty();
     if (more) after = page->items.back().key;
     if (!all) {
-      all = std::move(page);  // the oldest page's revision: a watch from it misses nothing
+      all = std::move(page);  // with the first page's revision: a watch from it misses no change
     } else {
-      for (auto& i : page->items) all->items.push_back(std::move(i));
+      for (auto& item : page->items) all->items.push_back(std::move(item));
     }
     if (!more) co_return all;
   }
@@ -169,7 +170,7 @@
   co_return TxnResult{TxnOutcome::committed, wire::parse_revision(answer.body).value_or(Revision{})};
 }
 
-// The store calls malformed what names a lease that has ended, and what is beyond its limits.
+// The store rejects as malformed both transactions that name an ended lease and those that exceed its limits.
 TxnOutcome StoreClient::classify_bad_request(const std::string& message, std::size_t operations, std::size_t bytes) {
   ctx_.log->info("transaction refused operations={} bytes={} answer={}", operations, bytes, message);
   if (message.find("lease") != std::string::npos) return TxnOutcome::lease_ended;
@@ -198,8 +199,8 @@
   co_return KeyComparison{limits_lowered ? Outcome::too_many_keys : Outcome::unanswered, {}};
 }
 
-// A conflict names the keys that exist. One that names none, or others than were asked for, is no answer to this
-// question: it must not be read as "none exists".
+// A conflict response names the keys that exist. One that names no key, or keys that were not queried, is unusable and
+// must not be interpreted as "none exists".
 KeyComparison StoreClient::parse_conflict(const std::string& body, const std::vector<wire::Condition>& conditions) {
   std::set<std::string> queried_keys;
   for (const auto& condition : conditions) queried_keys.insert(condition.key);
--- a/src/service/store_client.hpp
+++ b/src/service/store_client.hpp
@@ -1,4 +1,4 @@
-// Typed access to the store (the state service), within this node's share of its rates.
+// Typed client of the store (the state service) that limits itself to this node's share of the store's rates.
 #pragma once
 #include <deque>
 #include <optional>
@@ -12,91 +12,95 @@
 
 namespace martenwall::service {
 
-// `absent` is the store's own word; `failed`: no answer, or none that can be read.
+// `absent`: the store reported that the key does not exist. `failed`: no response, or one that cannot be parsed.
 enum class ReadOutcome { found, absent, failed };
-// The item is there where the outcome is `found`.
+// The result of reading one key.
 struct ReadResult {
   ReadOutcome outcome = ReadOutcome::failed;
-  wire::StoreItem item;  // where it was found
+  wire::StoreItem item;  // set if the outcome is `found`
 };
 
-// `conflict`: a condition does not hold. `lease_ended`: the lease that an operation names has ended. `too_large`:
-// malformed to the store, which is what it calls values and transactions beyond its limits. `refused`: not executed,
-// and never will be. `unknown`: no answer; it may have been executed, or may be later.
+// `conflict`: a condition does not hold. `lease_ended`: the lease that an operation names has ended. `too_large`: the
+// store rejected the transaction as malformed, its response to values and transactions that exceed its limits.
+// `refused`: not executed and never will be. `unknown`: no response; the transaction may have been executed or may be
+// later.
 enum class TxnOutcome { committed, conflict, lease_ended, too_large, refused, unknown };
-// The revision is there where the outcome is `committed`.
+// The result of a transaction; the revision is set if the outcome is `committed`.
 struct TxnResult {
   TxnOutcome outcome = TxnOutcome::refused;
-  Revision revision;  // of what was committed: the version of every key that was written
+  Revision revision;  // of the commit: the new version of each written key
 };
 
-// What a transaction that only compares told of the keys that it names.
+// The result of a transaction that consists of conditions only: which of its keys exist.
 struct KeyComparison {
   enum class Outcome {
-    answered,             // of each key it is known whether it exists
-    unreadable_conflict,  // a conflict that does not say at which of the keys: nothing is known of any of them
-    too_many_keys,        // the store takes fewer than it did; fewer may be asked for at once
-    unanswered,           // no answer, or none now
+    answered,             // for each key it is known whether it exists
+    unreadable_conflict,  // a conflict that does not identify its keys: nothing is known about any of them
+    too_many_keys,        // the store's limit is lower than assumed; the caller may retry at once with fewer keys
+    unanswered,           // no response, or not admitted within the timeout
   };
   Outcome outcome = Outcome::unanswered;
-  std::set<std::string> existing;  // where it was answered
+  std::set<std::string> existing;  // set if the outcome is `answered`
 
   [[nodiscard]] bool answered() const { return outcome == Outcome::answered; }
   [[nodiscard]] bool contains(const std::string& key) const { return existing.contains(key); }
 };
 
-// Every request of this node to the store goes through the one client. Where nothing else is said, a request waits for
-// this node's share of the store's rates first, at most for its timeout, and counts as failed or refused where the
-// share is overdrawn for longer. Timeouts are for the answer. Nothing is retried here.
+// All requests of this node to the store go through a single client. Unless stated otherwise, a request first waits for
+// this node's share of the store's rates, for at most its timeout, and fails or is refused if the share does not
+// suffice by then. Timeouts limit the wait for the response. Nothing is retried here.
 class StoreClient {
  public:
-  // `ctx` outlives the client, and is where it notes when the store answered last.
+  // `ctx` must outlive the client, which records the time of the store's last response in it.
   explicit StoreClient(Context& ctx);
-  // The item at one key.
+  // Reads one key.
   rt::Task<ReadResult> get(std::string key, Duration timeout);
-  // Does not wait for the share; for the few reads that decisions wait for.
+  // Reads one key without waiting for the share; for the few reads that block decisions.
   rt::Task<ReadResult> get_unthrottled(std::string key, Duration timeout);
-  // All items whose keys begin with `prefix`, page by page; nothing where a page could not be read. The revision is the
-  // first page's: a watch from there on misses nothing.
+  // Returns all items whose keys begin with `prefix`, read page by page, or nothing if a page could not be read. The
+  // revision is that of the first page: a watch from there on misses no change.
   rt::Task<std::optional<wire::StorePage>> list(std::string prefix);
-  // One page of them, after the key `after`; nothing where it could not be read.
+  // Returns one page of these items, beginning after the key `after`, or nothing if it could not be read.
   rt::Task<std::optional<wire::StorePage>> page(std::string prefix, std::string after);
-  // Users' submissions and the like go first; the leader's rows wait for their turn behind each other.
+  // `priority`: waits only for the share, as users' submissions do. `fifo`: also waits for the earlier `fifo`
+  // transactions, as the leader's rows do.
   enum class Queueing { priority, fifo };
-  // A compare-and-swap: all operations, where all conditions hold.
+  // Executes a compare-and-swap: all operations if all conditions hold, otherwise none.
   rt::Task<TxnResult> txn(std::vector<wire::Condition> conditions, std::vector<wire::StoreOp> operations,
                           Duration timeout, Queueing queueing = Queueing::priority);
-  // Which of the keys exist, all at one moment: a transaction that only compares.
+  // Determines which of the keys exist at a single revision, by a transaction that consists of conditions only.
   rt::Task<KeyComparison> find_existing(std::vector<std::string> keys, Duration timeout);
-  // Whether a good part of this node's share of writes is unused at the moment.
+  // Whether enough of this node's share of writes is unused for deferrable writes.
   [[nodiscard]] bool has_unused_write_rate();
-  // Of this node's share of requests, 0 to 1.
+  // Returns the used part of this node's share of requests, 0 to 1.
   [[nodiscard]] double request_share_used() { return 1 - requests_.fill_level(ctx_.now()); }
-  // These three do not wait for the share. A lease that is not renewed for `ttl` ends, and its keys with it.
+  // Creates a lease. A lease that is not renewed for `ttl` ends and its keys are removed. The three lease requests do
+  // not wait for the share.
   rt::Task<std::optional<LeaseId>> create_lease(Duration ttl);
-  // `ended` is the store's own word.
-  enum class LeaseRenewal { renewed, ended, failed /* no answer that tells */ };
-  // Counts against the share, but goes at once.
+  // `ended`: the store reported that the lease does not exist.
+  enum class LeaseRenewal { renewed, ended, failed /* no response, or an inconclusive one */ };
+  // Renews a lease. Counts against the share, but is sent immediately.
   rt::Task<LeaseRenewal> renew_lease(LeaseId lease, Duration timeout);
-  // Whatever the answer is, the lease ends by itself at the latest.
+  // Ends a lease. The response is ignored, since the lease expires in any case.
   rt::Task<void> end_lease(LeaseId lease);
-  // `too_old`: the store no longer knows all changes after that revision.
+  // `too_old`: the store has discarded changes after the requested revision.
   enum class WatchOutcome { events, too_old, failed };
-  // The page is there where the outcome is `events`.
+  // The result of a watch; the page is set if the outcome is `events`.
   struct WatchResult {
     WatchOutcome outcome = WatchOutcome::failed;
-    wire::StorePage page;  // the changes, removals included; none where nothing changed within the hold
+    wire::StorePage page;  // the changes, including removals; empty if nothing changed within the hold time
   };
-  // The changes of keys that begin with `prefix` after the revision `after`; answered after `hold` at the latest.
+  // Returns the changes after revision `after` of keys that begin with `prefix`. The store responds after `hold` at the
+  // latest.
   rt::Task<WatchResult> watch(std::string prefix, Revision after, Duration hold);
 
  private:
   rt::Task<ReadResult> read(std::string key, Duration timeout);
-  static constexpr double renewal_reserve_requests = 4;  // requests kept for lease renewals
-  // This node's part of the store's rates, 0 to 1.
+  static constexpr double renewal_reserve_requests = 4;  // kept available for lease renewals
+  // Returns this node's share of the store's rates, 0 to 1.
   [[nodiscard]] double current_share() const;
-  // Waits for the share. `reserve`: requests that are left for others that may need them more. False where the share is
-  // so far overdrawn that the caller should not wait.
+  // Waits until the share suffices. `reserve`: requests that stay available for more urgent callers. Returns false if
+  // the share does not suffice within `timeout`.
   rt::Task<bool> admit(double writes, Duration timeout, double reserve = renewal_reserve_requests);
   rt::Task<bool> admit_in_order(double writes, Duration timeout);
   rt::Task<rt::HttpResult> send(std::string method, std::string target, std::string body, Duration timeout);
@@ -107,7 +111,7 @@
   rt::HttpClient http_;
   TokenBucket requests_;
   TokenBucket writes_;
-  std::deque<std::uint64_t> queue_;  // tickets of transactions that wait for their turn
+  std::deque<std::uint64_t> queue_;  // tickets of the waiting `fifo` transactions
   std::uint64_t next_ticket_ = 0;
   rt::Event queue_advanced_;
 };
--- a/src/service/store_limits.cpp
+++ b/src/service/store_limits.cpp
@@ -5,25 +5,25 @@
 namespace martenwall::service {
 
 namespace {
-constexpr std::size_t value_overhead_bytes = 64;  // who wrote a value, and when: added last
+constexpr std::size_t value_overhead_bytes = 64;  // the writer's transaction ID, which is added after the size check
 constexpr std::size_t min_value_bytes = 1024;
 constexpr std::size_t min_txn_ops = 4;
-constexpr std::size_t min_refusals = 3;  // one can come of a burst that several nodes share
+constexpr std::size_t min_refusals = 3;  // a single one may result from a burst of several nodes
 constexpr Duration refusal_window = seconds(10);
 }  // namespace
 
-StoreLimits::StoreLimits(const config::Settings& s)
-    : current_sizes_{s.state_value_bytes, s.state_txn_ops},
+StoreLimits::StoreLimits(const config::Settings& settings)
+    : current_sizes_{settings.state_value_bytes, settings.state_txn_ops},
       lowered_sizes_(current_sizes_),
-      current_rates_{s.state_rps, s.state_write_rps},
+      current_rates_{settings.state_rps, settings.state_write_rps},
       lowered_rates_(current_rates_) {
-  if (!s.upcoming_state_limits) return;
+  if (!settings.upcoming_state_limits) return;
   announced_ = true;
-  const auto& n = *s.upcoming_state_limits;
-  lowered_sizes_ = {std::min(current_sizes_.value_bytes, n.value_bytes.value_or(current_sizes_.value_bytes)),
-                    std::min(current_sizes_.txn_ops, n.txn_ops.value_or(current_sizes_.txn_ops))};
-  lowered_rates_ = {std::min(current_rates_.rps, n.rps.value_or(current_rates_.rps)),
-                    std::min(current_rates_.write_rps, n.write_rps.value_or(current_rates_.write_rps))};
+  const auto& announced = *settings.upcoming_state_limits;
+  lowered_sizes_ = {std::min(current_sizes_.value_bytes, announced.value_bytes.value_or(current_sizes_.value_bytes)),
+                    std::min(current_sizes_.txn_ops, announced.txn_ops.value_or(current_sizes_.txn_ops))};
+  lowered_rates_ = {std::min(current_rates_.rps, announced.rps.value_or(current_rates_.rps)),
+                    std::min(current_rates_.write_rps, announced.write_rps.value_or(current_rates_.write_rps))};
 }
 
 void StoreLimits::use_announced_sizes() {
@@ -35,7 +35,7 @@
     transition_to(Stage::lowered_limits);
     return true;
   }
-  // Not announced, or lower than announced: found out by halves.
+  // The limits are unannounced or lower than announced: halves the sizes until the store accepts them.
   const Sizes before = lowered_sizes_;
   lowered_sizes_ = {std::max(min_value_bytes, before.value_bytes / 2), std::max(min_txn_ops, before.txn_ops / 2)};
   transition_to(Stage::lowered_limits);
--- a/src/service/store_limits.hpp
+++ b/src/service/store_limits.hpp
@@ -1,6 +1,6 @@
-// What the state service allows: today's limits, and the lower ones that the settings announce for some moment.
-// Sizes are kept to the lower ones as soon as all nodes read rows of any size; rates once a refusal shows that the
-// moment has come, since until then the difference is work that would be left undone.
+// Limits of the state service: the current ones and the lower ones that the settings announce for a later time. The
+// lower sizes apply as soon as all nodes can read rows of any size. The lower rates apply once a refusal shows that
+// they are in force, because applying them earlier would waste capacity.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -9,29 +9,30 @@
 
 namespace martenwall::service {
 
-// Used by the store client and by all that divide rows. A stage is never left for an earlier one.
+// Used by the store client and by the code that splits rows. Stages only advance.
 class StoreLimits {
  public:
-  // Begins with today's limits.
+  // Starts with the current limits.
   explicit StoreLimits(const config::Settings& settings);
 
-  // Which of the limits this node keeps to.
+  // Which limits this node observes.
   enum class Stage {
-    current_limits,  // today's limits
-    lowered_sizes,   // sizes of the announced ones, today's rates
-    lowered_limits,  // the announced ones hold
+    current_limits,  // current sizes and rates
+    lowered_sizes,   // announced sizes, current rates
+    lowered_limits,  // announced sizes and rates
   };
-  // The stage that was reached.
   [[nodiscard]] Stage stage() const { return stage_; }
-  // From now on rows may have any size, so the announced sizes are kept to.
+  // Switches to the announced sizes; called once all nodes can read rows of any size.
   void use_announced_sizes();
-  // A transaction was called malformed. True where that taught anything new.
+  // Handles a transaction that the store rejected as malformed. Returns whether the limits were lowered.
   bool on_size_refused();
-  // A request was beyond the rate although this node kept to its share.
+  // Handles a request that exceeded the rate although this node observed its share. Returns whether the limits were
+  // lowered.
   bool on_rate_refused(Time now);
 
-  [[nodiscard]] std::size_t value_bytes() const;  // of a value, less what its signature and framing take
-  // Operations in one transaction.
+  // Maximum size of a value, less the overhead of the transaction ID and framing.
+  [[nodiscard]] std::size_t value_bytes() const;
+  // Maximum number of operations in one transaction.
   [[nodiscard]] std::size_t txn_ops() const;
   // Requests per second, of all nodes together.
   [[nodiscard]] double rps() const;
--- a/src/service/submission_service.cpp
+++ b/src/service/submission_service.cpp
@@ -9,9 +9,9 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration forward_timeout = seconds(0.6);  // where the leader is silent, the store is the other way
+constexpr Duration forward_timeout = seconds(0.6);  // then the job is written to the store directly
 
-// The leader has decided: taken, known already, or refused for good.
+// Returns whether the leader decided: accepted, already known, or rejected permanently.
 bool is_decision(const wire::PeerReply& reply) {
   return reply.status == 200 || reply.status == 201 || reply.status == 422;
 }
@@ -46,18 +46,19 @@
     const auto reply = co_await peers_.call_leader(std::move(request), forward_timeout);
     if (reply && is_decision(*reply)) co_return response_from(*reply);
   }
-  // Looked at anew: this node may have become the leader during the wait.
+  // Checked again: this node may have become the leader during the wait.
   co_return co_await accept(std::move(spec), ctx_.has_valid_lease());
 }
 
-// A node of the other version would start a dependent job early.
+// A node of the earlier format version would start a dependent job before its dependencies are done.
 bool SubmissionService::format_version_allows(const JobSpec& spec) const {
   return spec.dependencies.empty() || ctx_.format_version >= wire::current_format_version;
 }
 
-// Which limits the job has to fit is not known here now, but to the leader, which checks it by the configuration in
-// force. It need not be known who leads: the others refuse. What would not be taken by the configuration that this node
-// knows is not handed over, since a leader of an earlier version does not check it again.
+// Handles a submission while this node cannot tell which configuration is in force. The leader knows it and validates
+// the job against it. The leader need not be known here: the other nodes refuse the request. A job that fails
+// validation by the configuration that this node knows is not forwarded, since a leader of an earlier version does not
+// validate it again.
 rt::Task<rt::HttpResponse> SubmissionService::submit_without_configuration(JobSpec spec, std::string body) {
   const bool may_fit = !find_rejection(spec, ctx_.configuration.teams, ctx_.types);
   if (may_fit && format_version_allows(spec) && ctx_.scheduler == nullptr) {
@@ -65,7 +66,7 @@
     const auto reply = co_await peers_.call_any_other(std::move(request), forward_timeout);
     if (reply && is_decision(*reply)) co_return response_from(*reply);
   }
-  // A job that was accepted stays so.
+  // An accepted job stays accepted.
   co_return co_await answer_if_stored(spec.id, "the configuration in force is not known now");
 }
 
@@ -77,14 +78,15 @@
   co_return co_await accept(std::move(spec), true);
 }
 
-// The job's state where the store has it; otherwise the user has to ask again, for the given reason.
+// Returns the job's state if the store has the job; otherwise 503 with the given reason.
 rt::Task<rt::HttpResponse> SubmissionService::answer_if_stored(JobId id, std::string retry_reason) {
   const JobLookup lookup = co_await reader_.read_status(id);
   if (lookup.exists()) co_return status_response(200, lookup.status);
   co_return retry_later(retry_reason);
 }
 
-// For good only where the store has no such job: one that was accepted under other settings stays accepted.
+// Rejects the job permanently only if the store has no such job: a job that was accepted under other settings stays
+// accepted.
 rt::Task<rt::HttpResponse> SubmissionService::reject(JobId id, Error error) {
   if (error.code == ErrorCode::unavailable) co_return retry_later(error.message);
   const JobLookup lookup = co_await reader_.read_status(id);
@@ -114,14 +116,14 @@
     co_return rejection(422, "awaits a job that was never accepted");
   }
   if (check.outcome != Outcome::known) co_return retry_later("the jobs that it awaits cannot be read now");
-  // What is done stays done: the rest is what the job waits for, whoever leads.
+  // A dependency that is done stays done, so the job waits for the remaining ones only, under any leader.
   spec.dependencies = std::move(check.open_dependencies);
   const bool still_leads = as_leader && ctx_.leads(term) && ctx_.has_valid_lease();
   co_return co_await store_job(std::move(spec), still_leads);
 }
 
-// Stores the job, whose dependencies, if any, are known to be accepted. The caller has not waited since it saw that
-// this node leads, where `as_leader` says so.
+// Stores the job. Its dependencies, if any, are known to be accepted. If `as_leader` is set, the caller has not
+// suspended since it checked that this node leads.
 rt::Task<rt::HttpResponse> SubmissionService::store_job(JobSpec spec, bool as_leader) {
   const auto term = ctx_.term;
   const JobId id = spec.id;
@@ -137,17 +139,17 @@
   if (stored.outcome == TxnOutcome::refused) co_return retry_later("the state service does not answer");
   if (stored.outcome != TxnOutcome::committed) co_return co_await answer_already_stored(id);
   if (as_leader) leader_service_.adopt_job(term, std::move(job), KeyVersion{stored.revision.value()});
-  // A leader that lost its leadership meanwhile has written without an inbox note; its successor may have loaded the
-  // store before: the job would wait for the next load.
+  // If this node lost the leadership during the write, the row was written without an inbox entry. The next leader may
+  // have loaded the store before that, and the job would wait for the load after.
   if (as_leader && !ctx_.leads(term)) co_await inbox_.write_entry(id);
   co_return status_response(201, JobStatus{id, JobPhase::pending, 0, 0});
 }
 
-// The job is known already, or the store's answer was lost: a read of the store tells.
+// Handles a job that is already known, or whose write got no answer: a read of the store decides.
 rt::Task<rt::HttpResponse> SubmissionService::answer_already_stored(JobId id) {
   const JobLookup lookup = co_await reader_.read_status(id);
   if (!lookup.exists()) co_return retry_later("not known to be stored");
-  // What made it known may have been a leader's own write that was applied late, which has no note for the next one.
+  // The row may stem from a former leader's write that was applied late and has no inbox entry for the next leader.
   if (!ctx_.has_valid_lease() && !is_final(lookup.status.phase)) inbox_.announce_job(id);
   co_return status_response(200, lookup.status);
 }
--- a/src/service/submission_service.hpp
+++ b/src/service/submission_service.hpp
@@ -1,4 +1,4 @@
-// Submissions: checked, stored once, and handed to the leader.
+// Submissions: validates jobs, stores each once, and passes it to the leader.
 #pragma once
 #include <string>
 
@@ -14,11 +14,11 @@
 
 namespace martenwall::service {
 
-// Accepts jobs. A job counts as accepted once its row is in the store, whichever node wrote it; 201 and 200 follow only
-// from that. Submissions are idempotent requests: the row is created only where there is none.
+// Accepts jobs. A job counts as accepted once its row is in the store, whichever node wrote it; 201 and 200 are sent
+// only after that. Submissions are idempotent: the row is created only if it does not exist.
 class SubmissionService {
  public:
-  // What a submission works with; all of it belongs to the node and outlives this service.
+  // The services that submissions use; all belong to the node and outlive this service.
   struct Collaborators {
     PeerService& peers;
     LeaderService& leader_service;
@@ -27,13 +27,13 @@
     DependencyChecker& dependencies;
     InboxWriter& inbox;
   };
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this service.
   SubmissionService(Context& ctx, const Collaborators& collaborators);
 
-  // A user's POST /api/jobs at this node. Responses: 201, 200, 400, 422, or 503 where it cannot be decided now.
+  // Handles a user's POST /api/jobs at this node: 201, 200, 400, 422, or 503 if no decision is possible at the moment.
   rt::Task<rt::HttpResponse> submit(std::string body);
 
-  // A submission that another node has checked and forwarded to this one, which leads.
+  // Handles a submission that another node has validated and forwarded to this node, the leader.
   rt::Task<rt::HttpResponse> accept_as_leader(JobSpec spec);
 
  private:
--- a/src/service/token_bucket.hpp
+++ b/src/service/token_bucket.hpp
@@ -1,4 +1,4 @@
-// Token bucket, so that this node stays within its share of an outside service's rate.
+// Token bucket that keeps this node within its share of an external service's rate.
 #pragma once
 #include <algorithm>
 
@@ -6,14 +6,15 @@
 
 namespace martenwall::service {
 
-// Holds one second's worth of tokens at most, and at least one.
+// The capacity is one second's worth of tokens, but at least one token.
 class TokenBucket {
  public:
-  // Begins full.
+  // Starts full.
   explicit TokenBucket(double per_second) : per_second_(per_second), tokens_(per_second) {}
-  // The rate from now on.
+  // Changes the rate.
   void set_rate(double per_second) { per_second_ = per_second; }
-  // Time to wait before `cost` may be spent while `keep` stays in reserve; zero: spent.
+  // Consumes `cost` tokens and returns zero if `reserve` tokens remain available; otherwise consumes none and returns
+  // the time to wait before the next attempt.
   Duration try_consume(double cost, double reserve, Time now) {
     refill(now);
     const double missing_tokens = std::min(cost + reserve, std::max(1.0, per_second_)) - tokens_;
@@ -23,7 +24,7 @@
     }
     return seconds(missing_tokens / per_second_) + Duration{1000};
   }
-  // Unused share of the bucket, 0 to 1.
+  // Returns the unused part of the capacity, 0 to 1.
   double fill_level(Time now) {
     refill(now);
     return tokens_ / std::max(1.0, per_second_);
--- a/src/service/worker_service.cpp
+++ b/src/service/worker_service.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 constexpr Duration min_cycle_gap = seconds(0.1);
-constexpr int cycle_gap_factor = 5;             // a slow cycle is followed by a pause so many times as long
-constexpr int max_parallel_announcements = 24;  // each is a connection of its own
-constexpr int max_announcement_attempts = 3;    // later the worker's own heartbeat gives it the token
+constexpr int cycle_gap_factor = 5;             // pause after a slow cycle, in multiples of the cycle's time
+constexpr int max_parallel_announcements = 24;  // each uses its own connection
+constexpr int max_announcement_attempts = 3;    // after that the worker receives the token with its own heartbeat
 constexpr Duration retry_delay = seconds(1);
 constexpr Duration command_timeout = seconds(2);
-constexpr Duration sender_interval = seconds(0.5);  // commands are looked for at least so often
+constexpr Duration sender_interval = seconds(0.5);  // pending commands are checked at least this often
 constexpr Duration role_check_interval = seconds(0.05);
 constexpr int max_loading_checks = 30;  // 1.5 s: a worker waits 4 s, and its batch at another node 1.2 s
 constexpr int max_resume_checks = 25;   // 1.25 s, as long as a renewal may take
-constexpr std::size_t max_response_bytes = 256 * 1024;  // a worker's heartbeat, with all its tasks
+constexpr std::size_t max_response_bytes = 256 * 1024;  // a worker's heartbeat with all its tasks
 }  // namespace
 
-// Commands go to many machines and to each one seldom: their connections are not kept, since with one to each worker,
-// beside the workers' own, a large fleet would use up the sockets.
+// Command connections are not kept open: commands go to many machines but rarely to each one, and one connection per
+// worker, in addition to the workers' own, would exhaust the sockets in a large fleet.
 WorkerService::WorkerService(Context& ctx, LeaderService& leader_service)
     : ctx_(ctx),
       leader_service_(leader_service),
@@ -33,12 +33,12 @@
 }
 
 rt::Task<void> WorkerService::wait_for_role() {
-  // A leader that is still reading the store will know in a moment.
+  // A leader that is still loading the store determines its role shortly.
   for (int i = 0; i < max_loading_checks && ctx_.leadership.state() == LeaderState::loading; ++i) {
     co_await ctx_.loop.sleep(role_check_interval);
   }
-  // One that stood still learns first whether another leads by now: its 200 would keep the worker here, without
-  // renewing its lease.
+  // After a process stall this node first checks whether another node leads by now: a 200 would keep the worker here
+  // without renewing its lease.
   for (int i = 0; i < max_resume_checks && ctx_.scheduler != nullptr && ctx_.resumed_after_stall(); ++i)
     co_await ctx_.loop.sleep(role_check_interval);
 }
@@ -54,8 +54,8 @@
   HeartbeatResponse out{HeartbeatResponse::Kind::commands, {}};
   out.commands = ctx_.scheduler->on_heartbeat(heartbeat, StatusSource::heartbeat, now, ctx_.may_start());
   if (ctx_.scheduler->must_withhold_response(heartbeat.machine)) return {HeartbeatResponse::Kind::released, {}};
-  // From here its lease may be renewed. It counts from the sending of the heartbeat, which lies before this moment,
-  // however long the answer takes and whichever node hands it over.
+  // The worker may renew its lease from here on. The lease counts from the sending of the heartbeat, which precedes
+  // this moment, however long the answer takes and whichever node delivers it.
   ctx_.scheduler->on_heartbeat_answered(heartbeat.machine, ctx_.loop.update_time());
   return out;
 }
@@ -89,8 +89,8 @@
     const Duration cycle_time = ctx_.loop.update_time() - began;
     if (may_start) ctx_.metrics.cycles.observe(cycle_time);
     if (ctx_.scheduler->has_writes(false, ctx_.now())) ctx_.writes_due.notify();
-    ctx_.write_committed.notify();  // stop commands need no commit: let the sender look
-    // Where cycles are slow, heartbeats, lease renewals and users come first.
+    ctx_.write_committed.notify();  // stop commands need no commit: wakes the command sender
+    // If cycles are slow, heartbeats, lease renewals and users take precedence.
     co_await ctx_.loop.sleep(std::max(min_cycle_gap, cycle_time * cycle_gap_factor));
   }
 }
@@ -105,7 +105,7 @@
       announced_term = ctx_.term;
       announce_all(ctx_.term);
     }
-    // Detached: each ends at its request's timeout.
+    // Detached: each ends at its request timeout.
     for (auto& batch : ctx_.scheduler->take_command_batches(ctx_.now())) rt::spawn(send(ctx_.term, std::move(batch)));
   }
 }
@@ -133,11 +133,12 @@
   ctx_.notify_pending_work();
 }
 
-// A few at a time, those with work first: heartbeats of all workers arrive in the same moments.
+// Sends a few announcements at a time, machines with tasks first, since the heartbeats of all workers arrive at the
+// same time.
 void WorkerService::announce_all(std::uint64_t term) {
   auto remaining = std::make_shared<std::vector<CommandBatch>>(ctx_.scheduler->announcements());
   std::ranges::reverse(*remaining);
-  // Detached: they end with the shared list, or with this leadership.
+  // Detached: they end when the shared list is empty, or with this leadership.
   for (int i = 0; i < max_parallel_announcements; ++i) rt::spawn(announce_remaining(term, remaining));
 }
 
@@ -152,7 +153,7 @@
   }
 }
 
-// Makes a worker know the new token, which fences the old leader's commands, and learns its tasks.
+// Sends a worker the new token, which fences the old leader's commands, and learns the worker's tasks.
 rt::Task<void> WorkerService::announce(std::uint64_t term, CommandBatch batch) {
   for (int attempt = 0; attempt < max_announcement_attempts && ctx_.leads(term); ++attempt) {
     std::string body = wire::encode_command_batch(ctx_.leadership.token(), batch.incarnation, batch.commands);
@@ -171,7 +172,7 @@
     ctx_.scheduler->on_heartbeat(*heartbeat, StatusSource::command_reply, ctx_.now(), ctx_.may_start());
     ctx_.notify_pending_work();
     if (result.status == 200) co_return;
-    batch.incarnation = heartbeat->incarnation;  // 409: its agent epoch has changed meanwhile
+    batch.incarnation = heartbeat->incarnation;  // 409: its agent epoch has changed
   }
 }
 
--- a/src/service/worker_service.hpp
+++ b/src/service/worker_service.hpp
@@ -1,4 +1,4 @@
-// Workers: answers to heartbeats, scheduling cycles, direct commands.
+// Worker communication: heartbeat responses, scheduling cycles, and direct commands.
 #pragma once
 #include <memory>
 #include <vector>
@@ -9,31 +9,32 @@
 
 namespace martenwall::service {
 
-// Runs the scheduler while this node leads, and carries its commands to the workers. A command is sent only under the
-// leadership that decided on it; what arrives later is fenced by the worker itself (fencing token, agent epoch).
+// Runs the scheduler while this node leads, and sends its commands to the workers. A command is sent only under the
+// leadership that decided on it; commands that arrive later are fenced by the worker (fencing token, agent epoch).
 class WorkerService {
  public:
-  // What it is given belongs to the node and outlives it.
+  // All references belong to the node and outlive this service.
   WorkerService(Context& ctx, LeaderService& leader_service);
 
-  // Waits, up to some seconds, while this node is about to know whether it leads. `answer` must follow without a wait
-  // between, or else the role may have changed again.
+  // Waits, up to some seconds, while this node's role is being determined. The caller must call `answer` without
+  // suspending in between, since the role may change during a suspension.
   rt::Task<void> wait_for_role();
 
-  // The answer to one heartbeat, by any node's request; `misdirected` where this node does not lead. No wait may come
-  // between this call and the sending of its answer. A stall of the process there is harmless (docs/safety.md).
+  // Returns the response to one heartbeat that arrived here or at another node; `misdirected` if this node does not
+  // lead. The caller must send it without suspending in between. A process stall between the two is harmless
+  // (docs/safety.md).
   HeartbeatResponse answer(const Heartbeat& heartbeat);
 
-  // The answer as an HTTP response; `token` is that of the leader that gave it.
+  // Encodes the answer as an HTTP response; `token` is that of the leader that gave it.
   [[nodiscard]] rt::HttpResponse response_to(const HeartbeatResponse& answer, FencingToken token) const;
 
-  // 421, which names the leader where this node knows another one.
+  // Returns 421 with the name of the leader if this node knows another leader.
   [[nodiscard]] rt::HttpResponse not_leader_response() const;
 
-  // Scheduling cycles while this node leads; runs as long as the node.
+  // Runs scheduling cycles while this node leads; runs as long as the node.
   rt::Task<void> run_cycles();
 
-  // Direct commands after each commit, and the token's announcement after a failover; runs as long as the node.
+  // Sends direct commands after each commit, and announces the new token after a failover; runs as long as the node.
   rt::Task<void> run_command_sender();
 
  private:
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -5,25 +5,25 @@
 namespace martenwall::wire {
 
 std::optional<std::vector<MachineType>> parse_types(const std::string& body) {
-  const auto o = parse(body);
-  if (field(o, "breeds") == nullptr) return std::nullopt;
+  const auto object = parse(body);
+  if (field(object, "breeds") == nullptr) return std::nullopt;
   std::vector<MachineType> out;
-  for (const auto& b : list(o, "breeds")) {
-    const auto name = text(b, "sku");
-    const auto cpus = number(b, "cpus");
+  for (const auto& breed : list(object, "breeds")) {
+    const auto name = text(breed, "sku");
+    const auto cpus = number(breed, "cpus");
     if (!name || !cpus) return std::nullopt;
-    MachineType t;
-    t.name = *name;
-    t.capacity = {*cpus, number(b, "accelerators").value_or(0), number(b, "memGb").value_or(0)};
-    t.cache_gb = number(b, "cacheGb").value_or(0);
-    t.fetch_gb_per_s = number(b, "pullGbPerS").value_or(0);
-    t.price = number(b, "hourly").value_or(0);
-    t.spot_price = number(b, "spotPrice").value_or(t.price);
-    t.boot_s = number(b, "readyS").value_or(60);
-    for (const auto& z : list(b, "yards")) {
-      if (z.is_string()) t.zones.push_back(z.get<std::string>());
+    MachineType type;
+    type.name = *name;
+    type.capacity = {*cpus, number(breed, "accelerators").value_or(0), number(breed, "memGb").value_or(0)};
+    type.cache_gb = number(breed, "cacheGb").value_or(0);
+    type.fetch_gb_per_s = number(breed, "pullGbPerS").value_or(0);
+    type.price = number(breed, "hourly").value_or(0);
+    type.spot_price = number(breed, "spotPrice").value_or(type.price);
+    type.boot_s = number(breed, "readyS").value_or(60);
+    for (const auto& zone : list(breed, "yards")) {
+      if (zone.is_string()) type.zones.push_back(zone.get<std::string>());
     }
-    out.push_back(std::move(t));
+    out.push_back(std::move(type));
   }
   if (out.empty()) return std::nullopt;
   return out;
@@ -31,31 +31,36 @@
 
 std::string encode_types(const std::vector<MachineType>& types) {
   auto rows = json::array();
-  for (const auto& t : types) {
-    rows.push_back({{"sku", t.name},
-                    {"cpus", t.capacity.cpus},
-                    {"accelerators", t.capacity.gpus},
-                    {"memGb", t.capacity.memory_gb},
-                    {"cacheGb", t.cache_gb},
-                    {"pullGbPerS", t.fetch_gb_per_s},
-                    {"hourly", t.price},
-                    {"spotPrice", t.spot_price},
-                    {"readyS", t.boot_s},
-                    {"yards", t.zones}});
+  for (const auto& type : types) {
+    rows.push_back({{"sku", type.name},
+                    {"cpus", type.capacity.cpus},
+                    {"accelerators", type.capacity.gpus},
+                    {"memGb", type.capacity.memory_gb},
+                    {"cacheGb", type.cache_gb},
+                    {"pullGbPerS", type.fetch_gb_per_s},
+                    {"hourly", type.price},
+                    {"spotPrice", type.spot_price},
+                    {"readyS", type.boot_s},
+                    {"yards", type.zones}});
   }
   return json{{"breeds", std::move(rows)}}.dump();
 }
 
-std::string encode_scale_out(const ScaleOutRequest& r) {
-  return json{{"hire", r.name}, {"breed", r.type}, {"yard", r.zone}, {"loaners", r.spot}, {"count", r.count}}.dump();
+std::string encode_scale_out(const ScaleOutRequest& request) {
+  return json{{"hire", request.name},
+              {"breed", request.type},
+              {"yard", request.zone},
+              {"loaners", request.spot},
+              {"count", request.count}}
+      .dump();
 }
 
 std::optional<std::vector<MachineId>> parse_scale_out_response(const std::string& body) {
-  const auto o = parse(body);
-  if (field(o, "hosts") == nullptr) return std::nullopt;
+  const auto object = parse(body);
+  if (field(object, "hosts") == nullptr) return std::nullopt;
   std::vector<MachineId> out;
-  for (const auto& h : list(o, "hosts")) {
-    if (h.is_string()) out.emplace_back(h.get<std::string>());
+  for (const auto& host : list(object, "hosts")) {
+    if (host.is_string()) out.emplace_back(host.get<std::string>());
   }
   return out;
 }
@@ -67,25 +72,25 @@
 }
 
 std::optional<MachinePage> parse_machines(const std::string& body) {
-  const auto o = parse(body);
-  if (field(o, "hosts") == nullptr) return std::nullopt;
+  const auto object = parse(body);
+  if (field(object, "hosts") == nullptr) return std::nullopt;
   MachinePage page;
-  page.more = flag(o, "more").value_or(false);
-  for (const auto& h : list(o, "hosts")) {
-    const auto id = text(h, "ref");
-    const auto phase = text(h, "phase");
+  page.more = flag(object, "more").value_or(false);
+  for (const auto& host : list(object, "hosts")) {
+    const auto id = text(host, "ref");
+    const auto phase = text(host, "phase");
     if (!id || !phase) continue;
-    ListedMachine m;
-    m.id = MachineId{*id};
-    m.addr = text(h, "endpoint").value_or("");
-    m.type = text(h, "breed").value_or("");
-    m.zone = text(h, "yard").value_or("");
-    m.spot = flag(h, "loaners").value_or(false);
-    m.age_s = number(h, "ageS").value_or(0);
-    m.phase = *phase == "failed"     ? ListedMachine::Phase::failed
-              : *phase == "starting" ? ListedMachine::Phase::booting
-                                     : ListedMachine::Phase::running;
-    page.machines.push_back(std::move(m));
+    ListedMachine machine;
+    machine.id = MachineId{*id};
+    machine.addr = text(host, "endpoint").value_or("");
+    machine.type = text(host, "breed").value_or("");
+    machine.zone = text(host, "yard").value_or("");
+    machine.spot = flag(host, "loaners").value_or(false);
+    machine.age_s = number(host, "ageS").value_or(0);
+    machine.phase = *phase == "failed"     ? ListedMachine::Phase::failed
+                    : *phase == "starting" ? ListedMachine::Phase::booting
+                                           : ListedMachine::Phase::running;
+    page.machines.push_back(std::move(machine));
   }
   return page;
 }
--- a/src/wire/cloud_codec.hpp
+++ b/src/wire/cloud_codec.hpp
@@ -1,4 +1,4 @@
-// The cloud's protocol: machine types, scaling out and in, the list of machines.
+// Protocol of the cloud: machine types, scaling out and in, and the list of machines.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,24 +9,25 @@
 
 namespace martenwall::wire {
 
-// The machine types; nothing where any of them cannot be read, or where there is none.
+// Parses the machine types. Returns no value if any of them is malformed, or if there are none.
 std::optional<std::vector<MachineType>> parse_types(const std::string& body);
-// The same form, for the store.
+// Encodes machine types in the form that `parse_types` reads, for the store.
 std::string encode_types(const std::vector<MachineType>& types);
 
-// The body of a scale-out request.
+// Returns the body of a scale-out request.
 std::string encode_scale_out(const ScaleOutRequest& request);
-// The machines granted; nothing where the body has no list of them.
+// Parses the ids of the granted machines. Returns no value if the body has no list of machines.
 std::optional<std::vector<MachineId>> parse_scale_out_response(const std::string& body);
-// The body of a scale-in request, of at most 100 machines.
+// Returns the body of a scale-in request for at most 100 machines.
 std::string encode_release(const std::vector<MachineId>& ids);
 
-// A page of the list of machines.
+// Page of the list of machines.
 struct MachinePage {
   std::vector<ListedMachine> machines;
-  bool more = false;  // further machines follow the last of these
+  bool more = false;  // the list continues after the last machine of this page
 };
-// Nothing where any machine of the page cannot be read.
+// Parses a page of the list of machines. Returns no value if the body has no list of machines; skips entries without an
+// id or a phase.
 std::optional<MachinePage> parse_machines(const std::string& body);
 
 }  // namespace martenwall::wire
--- a/src/wire/heartbeat_codec.cpp
+++ b/src/wire/heartbeat_codec.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr std::size_t max_tasks = 8000;  // of one machine; a report of 64 KiB tells of fewer than a thousand
+constexpr std::size_t max_tasks = 8000;  // per machine; a heartbeat of 64 KiB lists fewer than a thousand
 constexpr std::size_t max_bytes = 256 * 1024;
-constexpr std::size_t heartbeat_overhead_bytes = 64;  // framing of what is not text
+constexpr std::size_t heartbeat_overhead_bytes = 64;  // everything except the strings
 constexpr std::size_t task_overhead_bytes = 32;
 constexpr std::size_t command_overhead_bytes = 40;
 
 using NodeTuple = std::tuple<std::string, std::uint64_t, std::uint64_t>;
 using TaskTuple = std::tuple<std::string, std::uint32_t, std::uint64_t, std::uint8_t, std::uint8_t, bool>;
-// `notice_s` below 0: none.
+// A negative preemption notice means that there is none.
 using HeartbeatTuple = std::tuple<std::string, std::string, std::string, std::string, bool, std::uint64_t,
                                   std::uint64_t, std::uint64_t, double, std::vector<TaskTuple>>;
 using BatchTuple = std::tuple<NodeTuple, std::vector<HeartbeatTuple>>;
@@ -24,74 +24,76 @@
 using HeartbeatResponseTuple = std::tuple<std::uint8_t, std::vector<CommandTuple>>;
 using ResponsesTuple = std::tuple<std::uint64_t, std::vector<HeartbeatResponseTuple>, std::vector<NodeTuple>>;
 
-NodeTuple to_tuple(const NodeCapacity& n) { return {n.node, n.workers, n.capacity}; }
-NodeCapacity from_tuple(NodeTuple t) { return {std::move(std::get<0>(t)), std::get<1>(t), std::get<2>(t)}; }
+NodeTuple to_tuple(const NodeCapacity& node) { return {node.node, node.workers, node.capacity}; }
+NodeCapacity from_tuple(NodeTuple tuple) {
+  return {std::move(std::get<0>(tuple)), std::get<1>(tuple), std::get<2>(tuple)};
+}
 
-HeartbeatTuple to_tuple(const Heartbeat& r) {
+HeartbeatTuple to_tuple(const Heartbeat& heartbeat) {
   std::vector<TaskTuple> tasks;
-  tasks.reserve(r.tasks.size());
-  for (const auto& t : r.tasks) {
-    tasks.emplace_back(t.task.job.value(), t.task.index, t.attempt.value(), static_cast<std::uint8_t>(t.state),
-                       static_cast<std::uint8_t>(t.cause), t.saved);
+  tasks.reserve(heartbeat.tasks.size());
+  for (const auto& status : heartbeat.tasks) {
+    tasks.emplace_back(status.task.job.value(), status.task.index, status.attempt.value(),
+                       static_cast<std::uint8_t>(status.state), static_cast<std::uint8_t>(status.cause), status.saved);
   }
-  return {r.machine.value(),
-          r.addr,
-          r.type,
-          r.zone,
-          r.spot,
-          r.incarnation.value(),
-          r.sequence.value(),
-          r.token.value(),
-          r.preemption_notice_s.value_or(-1),
+  return {heartbeat.machine.value(),
+          heartbeat.addr,
+          heartbeat.type,
+          heartbeat.zone,
+          heartbeat.spot,
+          heartbeat.incarnation.value(),
+          heartbeat.sequence.value(),
+          heartbeat.token.value(),
+          heartbeat.preemption_notice_s.value_or(-1),
           std::move(tasks)};
 }
 
-// Takes the texts out of it.
-std::optional<Heartbeat> from_tuple(HeartbeatTuple& t) {
-  auto& [machine, addr, type, zone, spot, incarnation, sequence, token, preemption_notice_s, tasks] = t;
+// Moves the strings out of the tuple.
+std::optional<Heartbeat> from_tuple(HeartbeatTuple& tuple) {
+  auto& [machine, addr, type, zone, spot, incarnation, sequence, token, preemption_notice_s, tasks] = tuple;
   if (machine.empty() || machine.size() > 150 || !std::isfinite(preemption_notice_s)) return std::nullopt;
-  Heartbeat r;
-  r.machine = MachineId{std::move(machine)};
-  r.addr = std::move(addr);
-  r.type = std::move(type);
-  r.zone = std::move(zone);
-  r.spot = spot;
-  r.incarnation = Incarnation{incarnation};
-  r.sequence = HeartbeatSequence{sequence};
-  r.token = FencingToken{token};
-  if (preemption_notice_s >= 0) r.preemption_notice_s = preemption_notice_s;
-  r.tasks.reserve(tasks.size());
+  Heartbeat heartbeat;
+  heartbeat.machine = MachineId{std::move(machine)};
+  heartbeat.addr = std::move(addr);
+  heartbeat.type = std::move(type);
+  heartbeat.zone = std::move(zone);
+  heartbeat.spot = spot;
+  heartbeat.incarnation = Incarnation{incarnation};
+  heartbeat.sequence = HeartbeatSequence{sequence};
+  heartbeat.token = FencingToken{token};
+  if (preemption_notice_s >= 0) heartbeat.preemption_notice_s = preemption_notice_s;
+  heartbeat.tasks.reserve(tasks.size());
   for (auto& [job, index, attempt, state, cause, saved] : tasks) {
-    // What no worker reports, a start that has not arrived, must not come in by this way either.
+    // Workers never report a task whose start command has not arrived, so a forwarded heartbeat must not either.
     if (state < static_cast<std::uint8_t>(TaskState::fetching)) return std::nullopt;
     if (state > static_cast<std::uint8_t>(TaskState::ended)) return std::nullopt;
     if (cause > static_cast<std::uint8_t>(ExitCause::unknown)) return std::nullopt;
-    r.tasks.push_back({TaskId{JobId{std::move(job)}, index}, Attempt{attempt}, static_cast<TaskState>(state),
-                       static_cast<ExitCause>(cause), saved});
+    heartbeat.tasks.push_back({TaskId{JobId{std::move(job)}, index}, Attempt{attempt}, static_cast<TaskState>(state),
+                               static_cast<ExitCause>(cause), saved});
   }
-  return r;
+  return heartbeat;
 }
 
-HeartbeatResponseTuple to_tuple(const HeartbeatResponse& a) {
+HeartbeatResponseTuple to_tuple(const HeartbeatResponse& response) {
   std::vector<CommandTuple> commands;
-  commands.reserve(a.commands.size());
-  for (const auto& o : a.commands) {
-    commands.emplace_back(static_cast<std::uint8_t>(o.verb), o.task.job.value(), o.task.index, o.attempt.value(),
-                          o.grace_s);
+  commands.reserve(response.commands.size());
+  for (const auto& command : response.commands) {
+    commands.emplace_back(static_cast<std::uint8_t>(command.verb), command.task.job.value(), command.task.index,
+                          command.attempt.value(), command.grace_s);
   }
-  return {static_cast<std::uint8_t>(a.kind), std::move(commands)};
+  return {static_cast<std::uint8_t>(response.kind), std::move(commands)};
 }
 
-std::optional<HeartbeatResponse> from_tuple(HeartbeatResponseTuple& t) {
-  auto& [kind, commands] = t;
+std::optional<HeartbeatResponse> from_tuple(HeartbeatResponseTuple& tuple) {
+  auto& [kind, commands] = tuple;
   if (kind > static_cast<std::uint8_t>(HeartbeatResponse::Kind::deferred)) return std::nullopt;
-  HeartbeatResponse a{static_cast<HeartbeatResponse::Kind>(kind), {}};
+  HeartbeatResponse response{static_cast<HeartbeatResponse::Kind>(kind), {}};
   for (auto& [verb, job, index, attempt, grace_s] : commands) {
     if (verb > static_cast<std::uint8_t>(Command::Verb::forget)) return std::nullopt;
-    a.commands.push_back(
+    response.commands.push_back(
         {static_cast<Command::Verb>(verb), TaskId{JobId{std::move(job)}, index}, Attempt{attempt}, grace_s});
   }
-  return a;
+  return response;
 }
 
 template <class Tuple>
@@ -109,47 +111,48 @@
 }
 
 template <class Tuple>
-std::string pack(const Tuple& t) {
+std::string pack(const Tuple& tuple) {
   msgpack::sbuffer buffer;
-  msgpack::pack(buffer, t);
+  msgpack::pack(buffer, tuple);
   return {buffer.data(), buffer.size()};
 }
 
 }  // namespace
 
-std::size_t encoded_size(const Heartbeat& r) {
-  std::size_t n = heartbeat_overhead_bytes + r.machine.value().size() + r.addr.size() + r.type.size() + r.zone.size();
-  for (const auto& t : r.tasks) n += task_overhead_bytes + t.task.job.value().size();
-  return n;
+std::size_t encoded_size(const Heartbeat& heartbeat) {
+  std::size_t size = heartbeat_overhead_bytes + heartbeat.machine.value().size() + heartbeat.addr.size() +
+                     heartbeat.type.size() + heartbeat.zone.size();
+  for (const auto& status : heartbeat.tasks) size += task_overhead_bytes + status.task.job.value().size();
+  return size;
 }
 
-std::size_t encoded_size(const HeartbeatResponse& a) {
-  std::size_t n = 8;
-  for (const auto& o : a.commands) n += command_overhead_bytes + o.task.job.value().size();
-  return n;
+std::size_t encoded_size(const HeartbeatResponse& response) {
+  std::size_t size = 8;
+  for (const auto& command : response.commands) size += command_overhead_bytes + command.task.job.value().size();
+  return size;
 }
 
 std::string encode_batch(const HeartbeatBatch& batch) {
   std::vector<HeartbeatTuple> heartbeats;
   heartbeats.reserve(batch.heartbeats.size());
-  for (const auto& r : batch.heartbeats) heartbeats.push_back(to_tuple(r));
+  for (const auto& heartbeat : batch.heartbeats) heartbeats.push_back(to_tuple(heartbeat));
   return pack(BatchTuple{to_tuple(batch.sender), std::move(heartbeats)});
 }
 
 std::string encode_responses(const HeartbeatResponses& responses) {
-  std::vector<HeartbeatResponseTuple> list;
-  for (const auto& a : responses.responses) list.push_back(to_tuple(a));
+  std::vector<HeartbeatResponseTuple> response_tuples;
+  for (const auto& response : responses.responses) response_tuples.push_back(to_tuple(response));
   std::vector<NodeTuple> nodes;
-  for (const auto& n : responses.nodes) nodes.push_back(to_tuple(n));
-  return pack(ResponsesTuple{responses.token.value(), std::move(list), std::move(nodes)});
+  for (const auto& node : responses.nodes) nodes.push_back(to_tuple(node));
+  return pack(ResponsesTuple{responses.token.value(), std::move(response_tuples), std::move(nodes)});
 }
 
 std::optional<HeartbeatBatch> decode_batch(std::string_view bytes) {
-  auto t = unpack<BatchTuple>(bytes);
-  if (!t) return std::nullopt;
-  HeartbeatBatch out{from_tuple(std::move(std::get<0>(*t))), {}};
-  for (auto& r : std::get<1>(*t)) {
-    auto heartbeat = from_tuple(r);
+  auto fields = unpack<BatchTuple>(bytes);
+  if (!fields) return std::nullopt;
+  HeartbeatBatch out{from_tuple(std::move(std::get<0>(*fields))), {}};
+  for (auto& tuple : std::get<1>(*fields)) {
+    auto heartbeat = from_tuple(tuple);
     if (!heartbeat) return std::nullopt;
     out.heartbeats.push_back(std::move(*heartbeat));
   }
@@ -157,15 +160,15 @@
 }
 
 std::optional<HeartbeatResponses> decode_responses(std::string_view bytes) {
-  auto t = unpack<ResponsesTuple>(bytes);
-  if (!t) return std::nullopt;
-  HeartbeatResponses out{FencingToken{std::get<0>(*t)}, {}, {}};
-  for (auto& a : std::get<1>(*t)) {
-    auto answer = from_tuple(a);
-    if (!answer) return std::nullopt;
-    out.responses.push_back(std::move(*answer));
+  auto fields = unpack<ResponsesTuple>(bytes);
+  if (!fields) return std::nullopt;
+  HeartbeatResponses out{FencingToken{std::get<0>(*fields)}, {}, {}};
+  for (auto& tuple : std::get<1>(*fields)) {
+    auto response = from_tuple(tuple);
+    if (!response) return std::nullopt;
+    out.responses.push_back(std::move(*response));
   }
-  for (auto& n : std::get<2>(*t)) out.nodes.push_back(from_tuple(std::move(n)));
+  for (auto& node : std::get<2>(*fields)) out.nodes.push_back(from_tuple(std::move(node)));
   return out;
 }
 
--- a/src/wire/heartbeat_codec.hpp
+++ b/src/wire/heartbeat_codec.hpp
@@ -1,4 +1,4 @@
-// Workers' heartbeats between controller nodes: many in one message (msgpack), and their answers.
+// Batches of worker heartbeats that one controller node forwards to another, and the responses (msgpack).
 #pragma once
 #include <optional>
 #include <string>
@@ -9,42 +9,41 @@
 
 namespace martenwall::wire {
 
-// How many workers a node holds, and would hold.
+// Number of workers connected to a node, and the number for which it has capacity.
 struct NodeCapacity {
   std::string node;
   std::uint64_t workers = 0, capacity = 0;
 };
 
-// What a follower sends to the leader.
+// Message from a follower to the leader.
 struct HeartbeatBatch {
   NodeCapacity sender;
   std::vector<Heartbeat> heartbeats;
 };
 
-// What the leader replies to it.
+// The leader's reply to a batch.
 struct HeartbeatResponses {
   FencingToken token;
   std::vector<HeartbeatResponse> responses;  // in the order of the heartbeats
-  std::vector<NodeCapacity> nodes;           // that the leader heard lately, itself included
+  std::vector<NodeCapacity> nodes;           // nodes that the leader heard from recently, including itself
 };
 
 constexpr std::size_t max_batch_heartbeats = 64;
-constexpr std::size_t max_batch_bytes = 60 * 1024;  // of heartbeats; the rest of a frame is its framing
-constexpr std::size_t max_batch_response_bytes =
-    60 * 1024;  // of commands; what is beyond is left for the next heartbeat
+constexpr std::size_t max_batch_bytes = 60 * 1024;           // heartbeats only; the rest of a frame is for its framing
+constexpr std::size_t max_batch_response_bytes = 60 * 1024;  // further commands wait for the next heartbeat
 
-// An upper bound of what it takes in a batch, bytes.
+// Returns an upper bound of the size of a heartbeat in a batch, in bytes.
 std::size_t encoded_size(const Heartbeat& heartbeat);
-// The same for an answer, within `max_batch_response_bytes`.
-std::size_t encoded_size(const HeartbeatResponse& answer);
+// Returns an upper bound of the size of a response in a reply, in bytes; counts toward `max_batch_response_bytes`.
+std::size_t encoded_size(const HeartbeatResponse& response);
 
-// The msgpack bytes of a request's body.
+// Returns the msgpack bytes of a request body.
 std::string encode_batch(const HeartbeatBatch& batch);
-// The msgpack bytes of a reply's body.
+// Returns the msgpack bytes of a reply body.
 std::string encode_responses(const HeartbeatResponses& responses);
-// Nothing where it cannot be read whole: a task that is left out would be taken for absent.
+// Decodes a batch. Returns no value if any part is malformed: a skipped task would be treated as absent.
 std::optional<HeartbeatBatch> decode_batch(std::string_view bytes);
-// Nothing where it cannot be read whole.
+// Decodes a reply. Returns no value if any part is malformed.
 std::optional<HeartbeatResponses> decode_responses(std::string_view bytes);
 
 }  // namespace martenwall::wire
--- a/src/wire/json_fields.hpp
+++ b/src/wire/json_fields.hpp
@@ -1,4 +1,4 @@
-// Checked access to fields of a JSON object; nothing here throws on foreign input.
+// Checked access to fields of a JSON object. The functions do not throw on invalid input.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-// How deep arrays and objects nest, brackets within texts apart.
+// Returns the nesting depth of arrays and objects; ignores brackets within strings.
 inline int nesting_depth(const std::string& text) {
   int depth = 0;
   int max_depth = 0;
@@ -32,33 +32,34 @@
   return max_depth;
 }
 
-// The value, or null where the text is no JSON or nests too deeply.
+// Returns the parsed value, or null if the text is not valid JSON or is nested too deeply.
 inline json parse(const std::string& text) {
-  // Deep nesting would exhaust the stack of a recursive reader; nothing of PROTOCOL nests deeper.
+  // Deep nesting would exhaust the stack of the recursive parser. No message of PROTOCOL is nested more deeply.
   constexpr int max_depth = 12;
   if (nesting_depth(text) > max_depth) return {};
   auto value = json::parse(text, nullptr, false);
   return value.is_discarded() ? json{} : value;
 }
 
-// The object's field; null where there is none, or where its value is null.
+// Returns the field of the object; a null pointer if it is missing or its value is null.
 inline const json* field(const json& object, const char* name) {
   if (!object.is_object()) return nullptr;
   const auto it = object.find(name);
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
-// What is returned is part of the object: of a temporary it would be gone at the end of the expression, in a range-for
-// before the first element.
+// The result points into the object. With a temporary object it would dangle at the end of the expression; in a
+// range-for, before the first element.
 const json* field(const json&& object, const char* name) = delete;
 
-// The field as a string; nothing where it is missing, null, or of another type. So are the next three.
+// Returns the field as a string. This function and the next three return no value if the field is missing, null or of
+// another type.
 inline std::optional<std::string> text(const json& object, const char* name) {
   const auto* value = field(object, name);
   if (value == nullptr || !value->is_string()) return std::nullopt;
   return value->get<std::string>();
 }
 
-// A finite number.
+// Returns the field as a finite number.
 inline std::optional<double> number(const json& object, const char* name) {
   const auto* value = field(object, name);
   if (value == nullptr || !value->is_number()) return std::nullopt;
@@ -67,26 +68,26 @@
   return as_double;
 }
 
-// An integer of 0 or more.
+// Returns the field as a non-negative integer.
 inline std::optional<std::uint64_t> count(const json& object, const char* name) {
   const auto* value = field(object, name);
   if (value == nullptr || !value->is_number_unsigned()) return std::nullopt;
   return value->get<std::uint64_t>();
 }
 
-// True or false.
+// Returns the field as a Boolean.
 inline std::optional<bool> flag(const json& object, const char* name) {
   const auto* value = field(object, name);
   if (value == nullptr || !value->is_boolean()) return std::nullopt;
   return value->get<bool>();
 }
 
-// The field's elements; none where it is missing, null, or no array.
+// Returns the elements of the field; an empty array if it is missing, null or not an array.
 inline const json& list(const json& object, const char* name) {
   static const json empty = json::array();
   const auto* value = field(object, name);
   return value != nullptr && value->is_array() ? *value : empty;
 }
-const json& list(const json&& object, const char* name) = delete;  // as `field`
+const json& list(const json&& object, const char* name) = delete;  // see `field`
 
 }  // namespace martenwall::wire
--- a/src/wire/peer_codec.hpp
+++ b/src/wire/peer_codec.hpp
@@ -1,4 +1,4 @@
-// Between controller nodes: length-prefixed msgpack frames.
+// Protocol between controller nodes: length-prefixed msgpack frames.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,22 +8,21 @@
 
 namespace martenwall::wire {
 
-// What a node asks of another. The numbers are part of the frames; older versions close the connection on one that they
-// do not know.
+// Kinds of request between nodes. The numbers are part of the frames; older versions close the connection on a number
+// that they do not know.
 enum class PeerVerb : std::uint8_t {
   submit = 1,            // `job`: its id; `body`: the user's submission
   cancel = 3,            // `job`: its id
-  statuses = 4,          // `jobs`: many questions in one frame
-  ping = 5,              // nothing
-  stranded = 6,          // `job`: the asking node; `body`: the number of workers that it redirects in vain
+  statuses = 4,          // `jobs`: ids of the jobs whose statuses are queried
+  ping = 5,              // no fields
+  stranded = 6,          // `job`: the sending node; `body`: the number of its workers that do not reach the leader
   cloud = 7,             // `job`: method and target of a request to the cloud; `body`: its body
-  submit_dependent = 8,  // as `submit`; a verb of its own since older versions would drop the dependencies
-  heartbeats =
-      9,  // `body`: a batch (heartbeat_codec.hpp); only to a node whose reply to a ping says that it takes them
-  configuration = 10,  // `body`: a request of configuration_codec.hpp
+  submit_dependent = 8,  // as `submit`; a separate verb, since older versions would drop the dependencies
+  heartbeats = 9,        // `body`: a batch (heartbeat_codec.hpp); only for nodes whose ping reply announces support
+  configuration = 10,    // `body`: a request (configuration_codec.hpp)
 };
 
-// One request; which fields are used depends on the verb.
+// One request. The verb determines which fields are used.
 struct PeerRequest {
   PeerVerb verb = PeerVerb::statuses;
   std::string job;
@@ -31,7 +30,7 @@
   std::vector<std::string> jobs{};
 };
 
-// What the leader knows of a job from memory; not known: the store has to be asked.
+// Status of a job from the leader's memory. If the job is not known there, the store has to be queried.
 struct PeerStatus {
   bool known = false;
   std::uint8_t phase = 0;
@@ -39,32 +38,33 @@
 };
 constexpr std::size_t max_peer_jobs = 256;
 
-// The status of a reply to `cloud` where the cloud did not answer the node that passed the request on.
+// Status of a reply to `cloud` if the forwarding node got no response from the cloud.
 constexpr int status_no_response = 0;
 
-// The reply to any request.
+// Reply to any request.
 struct PeerReply {
-  int status = status_no_response;  // of HTTP; 421: the node asked does not lead
+  int status = status_no_response;  // HTTP status; 421: the receiving node is not the leader
   std::string body;
   std::vector<PeerStatus> statuses{};
 };
 
-// The body of the reply to a ping; versions that do not forward heartbeats leave it empty.
+// Bodies of the reply to a ping, by a leader and by a follower. Versions that do not forward heartbeats leave the body
+// empty.
 constexpr std::string_view accepts_heartbeats = "leads";
 constexpr std::string_view forwards_heartbeats = "follows";
 
 constexpr std::size_t max_peer_frame = 80 * 1024;
-// A frame: the payload's size in four bytes, then the payload.
+// Returns a frame: the size of the payload in four bytes (big-endian), then the payload.
 std::string encode_frame(const PeerRequest& request);
-// The same for a reply.
+// Returns the frame of a reply.
 std::string encode_frame(const PeerReply& reply);
 
-// From a payload without its prefix; nothing where it cannot be read.
+// Decodes a payload without its size prefix; returns no value if it is malformed.
 std::optional<PeerRequest> decode_request(std::string_view payload);
-// The same for a reply.
+// Decodes the payload of a reply; returns no value if it is malformed.
 std::optional<PeerReply> decode_reply(std::string_view payload);
 
-// Size of the frame's payload once its four-byte prefix is there.
+// Returns the size of the frame's payload; no value until the four-byte prefix has been received.
 std::optional<std::size_t> frame_size(std::string_view data);
 
 }  // namespace martenwall::wire
--- a/src/wire/user_codec.cpp
+++ b/src/wire/user_codec.cpp
@@ -8,66 +8,66 @@
 
 namespace {
 
-// In the order of JobKind, Priority and JobPhase.
+// Names on the wire, in the order of JobKind, Priority and JobPhase.
 constexpr std::array<std::string_view, 3> kind_names{"sweep", "ensemble", "service"};
 constexpr std::array<std::string_view, 4> priority_names{"best_effort", "normal", "high", "prod"};
 constexpr std::array<std::string_view, 4> phase_names{"pending", "running", "done", "withdrawn"};
 constexpr std::size_t max_text_bytes = 200;
-constexpr std::uint64_t max_tasks = 100'000;  // by PROTOCOL
-constexpr double max_amount = 1e9;            // beyond it, sums would lose precision
+constexpr std::uint64_t max_tasks = 100'000;  // set by PROTOCOL
+constexpr double max_amount = 1e9;            // sums of larger amounts would lose precision
 constexpr std::size_t max_types = 100;
-constexpr std::size_t max_job_id_bytes = 120;  // leaves room for the prefixes of the store's keys, of 200 bytes
+constexpr std::size_t max_job_id_bytes = 120;  // the store's keys have at most 200 bytes, including their prefixes
 
-// Thrown and caught in this file only.
+// Internal to this file: thrown for a field that is missing or invalid.
 struct InvalidField {
   const char* name;
 };
 
 template <std::size_t N>
-std::size_t require_index(const std::array<std::string_view, N>& names, const json& o, const char* name) {
-  const auto value = text(o, name);
+std::size_t require_index(const std::array<std::string_view, N>& names, const json& object, const char* name) {
+  const auto value = text(object, name);
   const auto it = value ? std::ranges::find(names, *value) : names.end();
   if (it == names.end()) throw InvalidField{name};
   return static_cast<std::size_t>(it - names.begin());
 }
 
-std::string require_text(const json& o, const char* name) {
-  auto value = text(o, name);
+std::string require_text(const json& object, const char* name) {
+  auto value = text(object, name);
   if (!value || value->empty() || value->size() > max_text_bytes) throw InvalidField{name};
   return *std::move(value);
 }
 
-double require_amount(const json& o, const char* name) {
-  const auto amount = number(o, name);
+double require_amount(const json& object, const char* name) {
+  const auto amount = number(object, name);
   if (!amount || *amount < 0 || *amount > max_amount) throw InvalidField{name};
   return *amount;
 }
 
-bool require_flag(const json& o, const char* name) {
-  const auto value = flag(o, name);
+bool require_flag(const json& object, const char* name) {
+  const auto value = flag(object, name);
   if (!value) throw InvalidField{name};
   return *value;
 }
 
-std::optional<std::vector<std::string>> types_of(const json& o) {
-  const auto* f = field(o, "breeds");
-  if (f == nullptr) return std::nullopt;
-  if (!f->is_array() || f->size() > max_types) throw InvalidField{"breeds"};
+std::optional<std::vector<std::string>> types_of(const json& object) {
+  const auto* types = field(object, "breeds");
+  if (types == nullptr) return std::nullopt;
+  if (!types->is_array() || types->size() > max_types) throw InvalidField{"breeds"};
   std::vector<std::string> out;
-  for (const auto& t : *f) {
-    if (!t.is_string() || t.get_ref<const std::string&>().size() > max_text_bytes) throw InvalidField{"breeds"};
-    out.push_back(t.get<std::string>());
+  for (const auto& type : *types) {
+    if (!type.is_string() || type.get_ref<const std::string&>().size() > max_text_bytes) throw InvalidField{"breeds"};
+    out.push_back(type.get<std::string>());
   }
   return out;
 }
 
-// Null and an empty list mean that it awaits none; the same id twice counts once.
-std::vector<JobId> dependencies_of(const json& o) {
-  const auto* f = field(o, "awaits");
-  if (f == nullptr) return {};
-  if (!f->is_array()) throw InvalidField{"awaits"};
+// Returns the dependencies, sorted and without duplicates. Null and an empty list mean that the job has none.
+std::vector<JobId> dependencies_of(const json& object) {
+  const auto* ids = field(object, "awaits");
+  if (ids == nullptr) return {};
+  if (!ids->is_array()) throw InvalidField{"awaits"};
   std::vector<JobId> out;
-  for (const auto& id : *f) {
+  for (const auto& id : *ids) {
     if (!id.is_string() || !valid_job_id(id.get_ref<const std::string&>())) throw InvalidField{"awaits"};
     out.emplace_back(id.get<std::string>());
   }
@@ -76,34 +76,34 @@
   return out;
 }
 
-JobSpec read_job(const json& o) {
-  JobSpec s;
-  s.id = JobId{require_text(o, "ref")};
-  if (!valid_job_id(s.id.value())) throw InvalidField{"ref"};
-  s.job_class = require_text(o, "lane");
-  s.team = require_text(o, "crew");
-  s.kind = static_cast<JobKind>(require_index(kind_names, o, "shape"));
-  s.priority = static_cast<Priority>(require_index(priority_names, o, "rank"));
-  const auto tasks = count(o, "shards");
+JobSpec read_job(const json& object) {
+  JobSpec spec;
+  spec.id = JobId{require_text(object, "ref")};
+  if (!valid_job_id(spec.id.value())) throw InvalidField{"ref"};
+  spec.job_class = require_text(object, "lane");
+  spec.team = require_text(object, "crew");
+  spec.kind = static_cast<JobKind>(require_index(kind_names, object, "shape"));
+  spec.priority = static_cast<Priority>(require_index(priority_names, object, "rank"));
+  const auto tasks = count(object, "shards");
   if (!tasks || *tasks < 1 || *tasks > max_tasks) throw InvalidField{"shards"};
-  s.tasks = static_cast<std::uint32_t>(*tasks);
-  s.need = {require_amount(o, "cpus"), require_amount(o, "accelerators"), require_amount(o, "memGb")};
-  s.image = require_text(o, "bundle");
-  s.image_gb = require_amount(o, "pullGb");
-  s.types = types_of(o);
-  if (const auto* zone = field(o, "yard")) {
+  spec.tasks = static_cast<std::uint32_t>(*tasks);
+  spec.need = {require_amount(object, "cpus"), require_amount(object, "accelerators"), require_amount(object, "memGb")};
+  spec.image = require_text(object, "bundle");
+  spec.image_gb = require_amount(object, "pullGb");
+  spec.types = types_of(object);
+  if (const auto* zone = field(object, "yard")) {
     if (!zone->is_string()) throw InvalidField{"yard"};
-    s.zone = require_text(o, "yard");
+    spec.zone = require_text(object, "yard");
   }
-  s.one_zone = require_flag(o, "oneZone");
-  s.spread = require_flag(o, "spread");
-  s.spot = require_flag(o, "loaners");
-  s.estimate_s = require_amount(o, "guessS");
-  s.checkpoint_interval_s = require_amount(o, "markEveryS");
-  s.checkpoint_duration_s = require_amount(o, "markCostS");
-  if (field(o, "dueS") != nullptr) s.deadline_s = require_amount(o, "dueS");
-  s.dependencies = dependencies_of(o);
-  return s;
+  spec.one_zone = require_flag(object, "oneZone");
+  spec.spread = require_flag(object, "spread");
+  spec.spot = require_flag(object, "loaners");
+  spec.estimate_s = require_amount(object, "guessS");
+  spec.checkpoint_interval_s = require_amount(object, "markEveryS");
+  spec.checkpoint_duration_s = require_amount(object, "markCostS");
+  if (field(object, "dueS") != nullptr) spec.deadline_s = require_amount(object, "dueS");
+  spec.dependencies = dependencies_of(object);
+  return spec;
 }
 
 }  // namespace
@@ -128,37 +128,37 @@
 
 Result<JobSpec> parse_job(const std::string& body) { return parse_job(parse(body)); }
 
-json encode_job(const JobSpec& s) {
-  json o{{"ref", s.id.value()},
-         {"lane", s.job_class},
-         {"crew", s.team},
-         {"shape", kind_names.at(static_cast<std::size_t>(s.kind))},
-         {"rank", priority_names.at(static_cast<std::size_t>(s.priority))},
-         {"shards", s.tasks},
-         {"cpus", s.need.cpus},
-         {"accelerators", s.need.gpus},
-         {"memGb", s.need.memory_gb},
-         {"bundle", s.image},
-         {"pullGb", s.image_gb},
-         {"oneZone", s.one_zone},
-         {"spread", s.spread},
-         {"loaners", s.spot},
-         {"guessS", s.estimate_s},
-         {"markEveryS", s.checkpoint_interval_s},
-         {"markCostS", s.checkpoint_duration_s}};
-  if (s.types) o["breeds"] = *s.types;
-  if (s.zone) o["yard"] = *s.zone;
-  if (s.deadline_s) o["dueS"] = *s.deadline_s;
-  for (const auto& id : s.dependencies) o["awaits"].push_back(id.value());
-  return o;
+json encode_job(const JobSpec& spec) {
+  json object{{"ref", spec.id.value()},
+              {"lane", spec.job_class},
+              {"crew", spec.team},
+              {"shape", kind_names.at(static_cast<std::size_t>(spec.kind))},
+              {"rank", priority_names.at(static_cast<std::size_t>(spec.priority))},
+              {"shards", spec.tasks},
+              {"cpus", spec.need.cpus},
+              {"accelerators", spec.need.gpus},
+              {"memGb", spec.need.memory_gb},
+              {"bundle", spec.image},
+              {"pullGb", spec.image_gb},
+              {"oneZone", spec.one_zone},
+              {"spread", spec.spread},
+              {"loaners", spec.spot},
+              {"guessS", spec.estimate_s},
+              {"markEveryS", spec.checkpoint_interval_s},
+              {"markCostS", spec.checkpoint_duration_s}};
+  if (spec.types) object["breeds"] = *spec.types;
+  if (spec.zone) object["yard"] = *spec.zone;
+  if (spec.deadline_s) object["dueS"] = *spec.deadline_s;
+  for (const auto& id : spec.dependencies) object["awaits"].push_back(id.value());
+  return object;
 }
 
-std::string encode_status(const JobStatus& s) {
-  json body{{"ref", s.id.value()},
-            {"phase", phase_names.at(static_cast<std::size_t>(s.phase))},
-            {"done", s.done},
-            {"running", s.running}};
-  if (!s.pending_reason.empty()) body["waits"] = s.pending_reason;
+std::string encode_status(const JobStatus& status) {
+  json body{{"ref", status.id.value()},
+            {"phase", phase_names.at(static_cast<std::size_t>(status.phase))},
+            {"done", status.done},
+            {"running", status.running}};
+  if (!status.pending_reason.empty()) body["waits"] = status.pending_reason;
   return body.dump();
 }
 
--- a/src/wire/user_codec.hpp
+++ b/src/wire/user_codec.hpp
@@ -1,4 +1,4 @@
-// Users' protocol: submissions and answers.
+// Protocol of the users: job submissions and responses.
 #pragma once
 #include <map>
 #include <string>
@@ -9,27 +9,29 @@
 
 namespace martenwall::wire {
 
-// Whether the text has the form of a job id and is short enough for the store's keys.
+// Returns whether the text has the form of a job id and is short enough for the store's keys.
 bool valid_job_id(const std::string& id);
 
-// A submission's body, or the same as stored in a job's row. The error is `invalid_argument`; its message, which the
-// user gets, names the first field that is missing or invalid. Whether the job can run is not looked at.
+// Parses the body of a submission, which is also the form stored in a job row. The error is `invalid_argument`; its
+// message is returned to the user and names the first field that is missing or invalid. Does not check whether the job
+// can run.
 Result<JobSpec> parse_job(const std::string& body);
-// The same, of a value that was read already.
+// Parses a submission from a JSON value.
 Result<JobSpec> parse_job(const json& object);
 
-// The submission that `parse_job` reads.
+// Encodes a submission in the form that `parse_job` reads.
 json encode_job(const JobSpec& spec);
 
-// The body of a job's state.
+// Returns the response body with the status of a job.
 std::string encode_status(const JobStatus& status);
 
-// The body of a response other than 200 and 201.
+// Returns the body of a response other than 200 and 201.
 std::string encode_error(const std::string& message);
 
-// Why jobs wait, between nodes. No reason at all is the empty text, which older versions send.
+// Encodes, for another node, why jobs are pending. Without any reason the result is empty, which is also what older
+// versions send.
 std::string encode_reasons(const std::map<JobId, std::string>& reasons);
-// What cannot be read is left out: the reasons are for display.
-std::map<JobId, std::string> parse_reasons(const std::string& text);
+// Parses the result of `encode_reasons`. Skips unreadable entries, since the reasons are only displayed.
+std::map<JobId, std::string> parse_reasons(const std::string& encoded);
 
 }  // namespace martenwall::wire
--- a/src/wire/worker_codec.hpp
+++ b/src/wire/worker_codec.hpp
@@ -1,4 +1,4 @@
-// Workers' protocol: heartbeats and their answers, direct commands.
+// Protocol of the workers: heartbeats, the responses to them, and direct commands.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,20 +8,21 @@
 
 namespace martenwall::wire {
 
-// "job-000412/3"; nothing where the text is anything else.
+// Parses a task id such as "job-000412/3"; returns no value for text of any other form.
 std::optional<TaskId> parse_task_id(const std::string& text);
 
-// A worker's heartbeat, also as the reply to a direct command. Nothing where any part of it cannot be read: a task that
-// is left out would be taken for absent.
+// Parses a worker's heartbeat, which is also the response to a direct command. Returns no value if any part is
+// malformed: a skipped task would be treated as absent.
 std::optional<Heartbeat> parse_heartbeat(const std::string& body);
 
-// The body of a 200 to a heartbeat.
+// Returns the body of a response with status 200 to a heartbeat.
 std::string encode_heartbeat_response(FencingToken token, const std::vector<Command>& commands);
 
-// The body of a direct command, for the worker's agent epoch `incarnation` only.
+// Returns the body of a request with direct commands. They apply only to this incarnation of the worker's agent.
 std::string encode_command_batch(FencingToken token, Incarnation incarnation, const std::vector<Command>& commands);
 
-// The body of a 421: names the node to report to. Empty: no name, and the worker tries the next node.
+// Returns the body of a response with status 421, which names the node to which the worker should send its heartbeats.
+// If `leader` is empty, the body names no node and the worker tries the next one.
 std::string encode_redirect(const std::string& leader);
 
 }  // namespace martenwall::wire
