--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -1,4 +1,4 @@
-// What a round, a thousand reports and a take-over's load cost, by the size of the fleet; and the memory per thing.
+// Measures scheduling rounds, a thousand heartbeats and the load of a new leader by fleet size, and memory per object.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -7,124 +7,127 @@
 namespace martenwall::bench {
 namespace {
 
-// Eight pending tasks a machine: 100,000 at 12,500 machines.
+// 100,000 pending tasks at 12,500 machines.
 constexpr std::size_t pending_per_machine = 8;
 
 std::size_t heap_bytes() { return mallinfo2().uordblks + mallinfo2().hblkhd; }
 
-Fleet full(std::size_t machines, const Policy& policy = {}) {
-  FleetShape kind;
-  kind.machines = machines;
-  kind.pending = machines * pending_per_machine;
-  kind.policy = policy;
-  Fleet f{std::move(kind)};
-  f.fill();
-  return f;
+Fleet full_fleet(std::size_t machines, const Policy& policy = {}) {
+  FleetShape shape;
+  shape.machines = machines;
+  shape.pending_tasks = machines * pending_per_machine;
+  shape.policy = policy;
+  Fleet fleet{std::move(shape)};
+  fleet.fill();
+  return fleet;
 }
 
-// One machine in twenty has just become free. The second number: `scheduler.shortage.weight`.
+// One machine in twenty has just become free. The second argument is `scheduler.shortage.weight`.
 void round_with_pending_work(benchmark::State& state) {
   Policy policy;
   policy.shortage_weight = static_cast<double>(state.range(1));
-  Fleet f = full(static_cast<std::size_t>(state.range(0)), policy);
-  double longest = 0;
+  Fleet fleet = full_fleet(static_cast<std::size_t>(state.range(0)), policy);
+  double longest_s = 0;
   for (auto _ : state) {
     state.PauseTiming();
-    f.pass(1);
-    f.complete(20);
-    for (const auto& r : f.heartbeats(static_cast<std::size_t>(state.range(0)))) f.report(r);
+    fleet.advance_clock(1);
+    fleet.complete_tasks(20);
+    for (const auto& heartbeat : fleet.next_heartbeats(static_cast<std::size_t>(state.range(0))))
+      fleet.deliver(heartbeat);
     state.ResumeTiming();
-    const auto began = std::chrono::steady_clock::now();
-    f.round();
-    longest = std::max(longest, std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count());
+    const auto start = std::chrono::steady_clock::now();
+    fleet.run_cycle();
+    longest_s = std::max(longest_s, std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count());
     state.PauseTiming();
-    f.store_all();
+    fleet.store_all();
     state.ResumeTiming();
   }
-  state.counters["longest_ms"] = longest * 1000;
-  state.counters["rows"] = static_cast<double>(f.scheduler().last_cycle_size().jobs);
-  state.counters["columns"] = static_cast<double>(f.scheduler().last_cycle_size().machines);
-  state.counters["victims"] = static_cast<double>(f.scheduler().last_cycle_size().preemption_candidates);
+  state.counters["longest_ms"] = longest_s * 1000;
+  state.counters["rows"] = static_cast<double>(fleet.scheduler().last_cycle_size().jobs);
+  state.counters["columns"] = static_cast<double>(fleet.scheduler().last_cycle_size().machines);
+  state.counters["victims"] = static_cast<double>(fleet.scheduler().last_cycle_size().preemption_candidates);
 }
 
-// Everything is busy: a round that finds nothing to do but looks for it.
+// All machines are busy: the round searches for placements and finds none.
 void round_of_a_full_fleet(benchmark::State& state) {
-  Fleet f = full(static_cast<std::size_t>(state.range(0)));
+  Fleet fleet = full_fleet(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
     state.PauseTiming();
-    f.pass(1);
-    for (const auto& r : f.heartbeats(static_cast<std::size_t>(state.range(0)))) f.report(r);
+    fleet.advance_clock(1);
+    for (const auto& heartbeat : fleet.next_heartbeats(static_cast<std::size_t>(state.range(0))))
+      fleet.deliver(heartbeat);
     state.ResumeTiming();
-    f.round();
+    fleet.run_cycle();
   }
 }
 
 void thousand_reports(benchmark::State& state) {
-  Fleet f = full(static_cast<std::size_t>(state.range(0)));
+  Fleet fleet = full_fleet(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
     state.PauseTiming();
-    f.pass(1);
-    const auto reports = f.heartbeats(1000);
+    fleet.advance_clock(1);
+    const auto heartbeats = fleet.next_heartbeats(1000);
     state.ResumeTiming();
-    for (const auto& r : reports) f.report(r);
+    for (const auto& heartbeat : heartbeats) fleet.deliver(heartbeat);
   }
 }
 
 void take_over(benchmark::State& state) {
-  Fleet f = full(static_cast<std::size_t>(state.range(0)));
-  const auto rows = f.jobs();
+  Fleet fleet = full_fleet(static_cast<std::size_t>(state.range(0)));
+  const auto rows = fleet.stored_rows();
   for (auto _ : state) {
-    auto s = f.load(rows);
-    benchmark::DoNotOptimize(s);
+    auto scheduler = fleet.load(rows);
+    benchmark::DoNotOptimize(scheduler);
   }
   state.counters["jobs"] = static_cast<double>(rows.jobs.size());
   state.counters["machines"] = static_cast<double>(rows.machines.size());
   state.counters["task_rows"] = static_cast<double>(rows.tasks.size());
 }
 
-// Bytes a machine, a placed task and a job, one kind at a time; and of the whole.
+// Measures the bytes per machine and per placed task separately, and the memory of the whole fleet.
 void memory(benchmark::State& state) {
-  const auto n = static_cast<std::size_t>(state.range(0));
-  double per_machine = 0;
-  double per_task = 0;
-  double whole_mb = 0;
+  const auto machines = static_cast<std::size_t>(state.range(0));
+  double bytes_per_machine = 0;
+  double bytes_per_task = 0;
+  double total_mb = 0;
   for (auto _ : state) {
-    const auto empty = heap_bytes();
-    FleetShape kind;
-    kind.machines = n;
-    Fleet bare{std::move(kind)};
-    const auto with_machines = heap_bytes();
-    const auto rows_before = bare.scheduler().jobs().size();
-    benchmark::DoNotOptimize(rows_before);
-    per_machine = static_cast<double>(with_machines - empty) / static_cast<double>(n);
-    bare.fill();
-    per_task = static_cast<double>(heap_bytes() - with_machines) / static_cast<double>(bare.placed());
+    const auto initial_bytes = heap_bytes();
+    FleetShape shape;
+    shape.machines = machines;
+    Fleet fleet{std::move(shape)};
+    const auto bytes_with_machines = heap_bytes();
+    const auto job_count = fleet.scheduler().jobs().size();
+    benchmark::DoNotOptimize(job_count);
+    bytes_per_machine = static_cast<double>(bytes_with_machines - initial_bytes) / static_cast<double>(machines);
+    fleet.fill();
+    bytes_per_task =
+        static_cast<double>(heap_bytes() - bytes_with_machines) / static_cast<double>(fleet.placed_tasks());
   }
   {
-    const auto empty = heap_bytes();
-    Fleet f = full(n);
-    whole_mb = static_cast<double>(heap_bytes() - empty) / 1e6;
+    const auto initial_bytes = heap_bytes();
+    Fleet fleet = full_fleet(machines);
+    total_mb = static_cast<double>(heap_bytes() - initial_bytes) / 1e6;
   }
-  state.counters["bytes_a_machine_and_its_jobs"] = per_machine;
-  state.counters["bytes_a_placed_task"] = per_task;
-  state.counters["whole_MB"] = whole_mb;
+  state.counters["bytes_a_machine_and_its_jobs"] = bytes_per_machine;
+  state.counters["bytes_a_placed_task"] = bytes_per_task;
+  state.counters["whole_MB"] = total_mb;
 }
 
-void sizes(benchmark::internal::Benchmark* b) {
+void machine_counts(benchmark::internal::Benchmark* b) {
   for (const int n : {28, 200, 1400, 5000, 12500}) b->Arg(n);
   b->Unit(benchmark::kMillisecond);
 }
 
-void sizes_with_and_without_shortage(benchmark::internal::Benchmark* b) {
+void machine_counts_and_shortage_weights(benchmark::internal::Benchmark* b) {
   for (const int n : {28, 200, 1400, 5000, 12500}) b->Args({n, 0})->Args({n, 40});
   b->Unit(benchmark::kMillisecond);
 }
 
-BENCHMARK(round_with_pending_work)->Apply(sizes_with_and_without_shortage)->Iterations(15);
-BENCHMARK(round_of_a_full_fleet)->Apply(sizes)->Iterations(15);
-BENCHMARK(thousand_reports)->Apply(sizes)->Iterations(20);
-BENCHMARK(take_over)->Apply(sizes)->Iterations(3);
-BENCHMARK(memory)->Apply(sizes)->Iterations(1);
+BENCHMARK(round_with_pending_work)->Apply(machine_counts_and_shortage_weights)->Iterations(15);
+BENCHMARK(round_of_a_full_fleet)->Apply(machine_counts)->Iterations(15);
+BENCHMARK(thousand_reports)->Apply(machine_counts)->Iterations(20);
+BENCHMARK(take_over)->Apply(machine_counts)->Iterations(3);
+BENCHMARK(memory)->Apply(machine_counts)->Iterations(1);
 
 }  // namespace
 }  // namespace martenwall::bench
--- a/bench/fleet.hpp
+++ b/bench/fleet.hpp
@@ -1,5 +1,5 @@
-// A fleet for measurements: machines, jobs and what workers report, made from a size and nothing else. No I/O, no
-// clock.
+// A fleet for benchmarks: machines, jobs and heartbeats that are derived from the fleet's shape alone. It uses no I/O
+// and no clock.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,49 +11,52 @@
 
 namespace martenwall::bench {
 
+// Size and composition of a fleet.
 struct FleetShape {
-  std::size_t machines = 0;  // all up
-  std::size_t pending = 0;   // tasks that find no place
+  std::size_t machines = 0;       // all up
+  std::size_t pending_tasks = 0;  // tasks that cannot be placed
   std::size_t zones = 3, teams = 2;
-  std::size_t cpu_kinds = 0;  // types of 8 CPUs without GPUs, beside the one of 4 GPUs
-  double gpu_part = 1;        // of the machines
-  std::uint32_t largest_gang = 16;
-  std::uint32_t array = 30;  // tasks of an array
-  Policy policy{};           // what the leader weighs by
+  std::size_t cpu_types = 0;  // machine types with 8 CPUs and no GPUs, besides the type with 4 GPUs
+  double gpu_fraction = 1;    // fraction of the machines with GPUs
+  std::uint32_t max_gang_tasks = 16;
+  std::uint32_t tasks_per_array = 30;
+  Policy policy{};  // policy of the leader
 };
 
-// docs/CAPACITY.md's size, or a part of it: two kinds of machine, 15 zones, 48 teams, gangs of up to 64.
+// Returns the shape of docs/CAPACITY.md for that number of machines: two machine types, 15 zones, 48 teams, gangs of up
+// to 64.
 FleetShape planned_shape(std::size_t machines);
 
+// A scheduler with simulated workers, driven by explicit calls.
 class Fleet {
  public:
-  explicit Fleet(FleetShape kind);
-  // Rounds and reports until nothing more can be placed.
+  explicit Fleet(FleetShape shape);
+  // Runs rounds and heartbeats until no more tasks can be placed.
   void fill();
-  // An array of one-CPU tasks for machines without GPUs, or a gang of whole machines with them.
+  // Add an array of one-CPU tasks for machines without GPUs, or a gang of tasks that each use a whole GPU machine.
   JobId add_array(std::uint32_t tasks);
   JobId add_gang(std::uint32_t tasks);
   [[nodiscard]] JobSpec next_spec(JobKind kind, std::uint32_t tasks, Priority priority);
-  // Reports in which `count` tasks of machines without GPUs have just ended.
-  std::vector<Heartbeat> ends(std::size_t count);
-  // Tasks on one machine in `part` complete, and their ends are reported and stored.
-  void complete(std::size_t part);
-  // Reports of the next `count` machines, in turn; each is sent by its worker as things stand.
-  std::vector<Heartbeat> reports(std::size_t count);
-  void report(const Heartbeat& r);
-  void round();
+  // Returns heartbeats in which `count` tasks on machines without GPUs have just ended.
+  std::vector<Heartbeat> end_tasks(std::size_t count);
+  // Ends the tasks on one of every `stride` machines; the ends are reported and stored.
+  void complete_tasks(std::size_t stride);
+  // Returns heartbeats of the next `count` machines in rotation, with the current state of each worker.
+  std::vector<Heartbeat> next_heartbeats(std::size_t count);
+  void deliver(const Heartbeat& heartbeat);
+  void run_cycle();
   void store_all();
-  void pass(double s) { now_ += seconds(s); }
-  // Everything that a successor reads, handed over in the order in which it is loaded.
-  struct Rows {
+  void advance_clock(double elapsed_s) { now_ += seconds(elapsed_s); }
+  // The stored rows that a new leader reads, in load order.
+  struct StoredRows {
     std::vector<Job> jobs;
     std::vector<MachineRecord> machines;
     std::vector<TaskRow> tasks;
   };
-  [[nodiscard]] Rows rows() const;
-  [[nodiscard]] std::unique_ptr<Scheduler> load(const Rows& rows) const;
+  [[nodiscard]] StoredRows stored_rows() const;
+  [[nodiscard]] std::unique_ptr<Scheduler> load(const StoredRows& rows) const;
   [[nodiscard]] Scheduler& scheduler() { return *scheduler_; }
-  [[nodiscard]] std::size_t placed() const;
+  [[nodiscard]] std::size_t placed_tasks() const;
   [[nodiscard]] Time now() const { return now_; }
 
  private:
@@ -69,24 +72,28 @@
     std::vector<Task> tasks;
   };
   void add_machines(std::size_t count);
-  void add_jobs(std::size_t pending);
+  void add_jobs(std::size_t tasks);
   void add_job(JobSpec spec);
-  void execute(Worker& w, const std::vector<Command>& commands);
-  Heartbeat report_of(Worker& w);
+  void execute(Worker& worker, const std::vector<Command>& commands);
+  Heartbeat make_heartbeat(Worker& worker);
   [[nodiscard]] Scheduler::Options options() const;
 
-  [[nodiscard]] std::string team(std::size_t n) const { return "team-" + std::to_string(n % shape_.teams); }
-  [[nodiscard]] std::string zone(std::size_t n) const { return "zone-" + std::to_string(n % shape_.zones); }
+  [[nodiscard]] std::string team_name(std::size_t index) const {
+    return "team-" + std::to_string(index % shape_.teams);
+  }
+  [[nodiscard]] std::string zone_name(std::size_t index) const {
+    return "zone-" + std::to_string(index % shape_.zones);
+  }
 
   Time now_{seconds(1000)};
   FleetShape shape_;
   std::vector<MachineType> types_;
   std::unique_ptr<Scheduler> scheduler_;
   std::vector<Worker> workers_;
-  std::map<MachineId, std::size_t> by_id_;
+  std::map<MachineId, std::size_t> worker_index_;
   std::size_t next_worker_ = 0;
-  std::uint64_t job_no_ = 0;
-  std::map<RowKey, RowWrite> stored_;
+  std::uint64_t job_count_ = 0;
+  std::map<RowKey, RowWrite> stored_writes_;
 };
 
 }  // namespace martenwall::bench
--- a/scale/cell.cpp
+++ b/scale/cell.cpp
@@ -9,15 +9,15 @@
 
 using nlohmann::json;
 
-constexpr Duration tick_every = seconds(0.05);
-constexpr Duration restart_takes = seconds(5);
-constexpr Duration limits_in_force = seconds(8);
+constexpr Duration tick_interval = seconds(0.05);
+constexpr Duration restart_duration = seconds(5);
+constexpr Duration limits_adoption_time = seconds(8);
 constexpr double third = 1.0 / 3;
 
-std::vector<std::string> names_of(const std::vector<ControllerAddress>& controllers) {
-  std::vector<std::string> out;
-  for (const auto& c : controllers) out.push_back(c.name);
-  return out;
+std::vector<std::string> controller_names(const std::vector<ControllerAddress>& controllers) {
+  std::vector<std::string> names;
+  for (const auto& c : controllers) names.push_back(c.name);
+  return names;
 }
 
 }  // namespace
@@ -30,11 +30,12 @@
       workers_{loop,
                {rules_, plan_.timings,
                 [this](const JobSpec& spec) {
-                  // PROTOCOL: give or take a third. All types of a plan fetch alike.
-                  return spec.image_gb / plan_.types.front().fetch_gb_per_s * (1 + third * (2 * workers_.roll() - 1));
+                  // PROTOCOL: fetch times vary by a third. All machine types of a plan have the same fetch rate.
+                  return spec.image_gb / plan_.types.front().fetch_gb_per_s *
+                         (1 + third * (2 * workers_.uniform() - 1));
                 }},
                plan_.controllers,
-               names_of(plan_.controllers),
+               controller_names(plan_.controllers),
                [this] {
                  return std::uniform_real_distribution<>{0, 1}(random_);
                },
@@ -44,28 +45,28 @@
       users_(loop, plan_, rules_, balancer_) {}
 
 int Cell::run() {
-  began_ = loop_.update_time();
+  started_at_ = loop_.update_time();
   cloud_.run();
-  for (std::size_t n = 0; n < balancer_.nodes(); ++n) rt::spawn(balancer_.probe(n));
-  rt::spawn(ticks());
+  for (std::size_t node = 0; node < balancer_.nodes(); ++node) rt::spawn(balancer_.probe(node));
+  rt::spawn(tick_loop());
   rt::spawn(run_plan());
-  while (!over_) loop_.step();
+  while (!finished_) loop_.step();
   write_result();
   return rules_.violations().empty() ? 0 : 1;
 }
 
-rt::Task<void> Cell::ticks() {
+rt::Task<void> Cell::tick_loop() {
   Time next_second = loop_.now() + seconds(1);
   std::size_t started_before = 0;
   for (;;) {
     const Time began = loop_.update_time();
-    std::vector<stand_ins::WorkerModel*> awake;
+    std::vector<stand_ins::WorkerModel*> running_workers;
     for (const auto& w : cloud_.workers()) {
       if (w->model().gone()) continue;
       w->tick();
-      if (w->model().up(began)) awake.push_back(&w->model());
+      if (w->model().up(began)) running_workers.push_back(&w->model());
     }
-    stand_ins::Gangs::step(awake, began);
+    stand_ins::Gangs::step(running_workers, began);
     for (const auto& w : cloud_.workers()) {
       w->wake_if_changed();
     }
@@ -73,80 +74,80 @@
     if (began >= next_second) {
       next_second += seconds(1);
       for (const auto& w : cloud_.workers()) {
-        busiest_worker_bytes_ = std::max(busiest_worker_bytes_, static_cast<double>(w->take_bytes()));
+        busiest_worker_bytes_ = std::max(busiest_worker_bytes_, static_cast<double>(w->reset_traffic_bytes()));
       }
-      seconds_.push_back({rules_.started() - started_before, rules_.tasks_on_machines()});
+      samples_.push_back({rules_.started() - started_before, rules_.tasks_on_machines()});
       started_before = rules_.started();
     }
     longest_tick_s_ = std::max(longest_tick_s_, to_seconds(loop_.update_time() - began));
-    co_await loop_.sleep(tick_every);
+    co_await loop_.sleep(tick_interval);
   }
 }
 
-rt::Task<void> Cell::run_event(Event e) {
-  co_await loop_.sleep(seconds(e.at_s));
-  if (e.kind == Event::Kind::limits) {
-    rules_.change_limits(e.teams, loop_.now(), limits_in_force);
+rt::Task<void> Cell::run_event(Event event) {
+  co_await loop_.sleep(seconds(event.at_s));
+  if (event.kind == Event::Kind::limits) {
+    rules_.change_limits(event.teams, loop_.now(), limits_adoption_time);
     co_return;
   }
-  if (e.kind == Event::Kind::cut_zone) {
+  if (event.kind == Event::Kind::cut_zone) {
     for (const auto& w : cloud_.workers()) {
-      if (w->zone() == e.zone) w->cut_for(seconds(e.for_s));
+      if (w->zone() == event.zone) w->partition_for(seconds(event.for_s));
     }
     co_return;
   }
-  const Time until = loop_.now() + seconds(e.for_s);
-  double due = 0;
+  const Time until = loop_.now() + seconds(event.for_s);
+  double pending_restarts = 0;
   while (loop_.now() < until) {
     co_await loop_.sleep(seconds(1));
-    due += e.part_per_minute / 60 * static_cast<double>(cloud_.workers().size());
-    for (; due >= 1; --due) {
-      const auto n = static_cast<std::size_t>(workers_.roll() * static_cast<double>(cloud_.workers().size()));
-      auto& w = *cloud_.workers().at(n);
+    pending_restarts += event.restarts_per_minute / 60 * static_cast<double>(cloud_.workers().size());
+    for (; pending_restarts >= 1; --pending_restarts) {
+      const auto index = static_cast<std::size_t>(workers_.uniform() * static_cast<double>(cloud_.workers().size()));
+      auto& w = *cloud_.workers().at(index);
       if (w.model().gone()) continue;
-      w.cut_for(restart_takes);
+      w.partition_for(restart_duration);
       w.restart();
     }
   }
 }
 
 rt::Task<void> Cell::run_plan() {
-  constexpr Duration first_healthy = seconds(60);
-  const Time latest = loop_.now() + first_healthy;
-  while (balancer_.healthy() < balancer_.nodes() && loop_.now() < latest) co_await loop_.sleep(seconds(0.2));
+  constexpr Duration startup_timeout = seconds(60);
+  const Time startup_deadline = loop_.now() + startup_timeout;
+  while (balancer_.healthy() < balancer_.nodes() && loop_.now() < startup_deadline) co_await loop_.sleep(seconds(0.2));
   co_await loop_.sleep(seconds(plan_.begin_s));
-  began_ = loop_.now();
+  started_at_ = loop_.now();
   double faults_end_s = 0;
-  for (const auto& e : plan_.events) {
-    faults_end_s = std::max(faults_end_s, e.at_s + e.for_s);
-    rt::spawn(run_event(e));
+  for (const auto& event : plan_.events) {
+    faults_end_s = std::max(faults_end_s, event.at_s + event.for_s);
+    rt::spawn(run_event(event));
   }
-  const Time until = began_ + seconds(plan_.arrivals_s);
-  for (std::size_t c = 0; c < plan_.classes.size(); ++c) rt::spawn(users_.arrive(c, until));
-  rt::spawn(users_.ask_about_unknown(until));
-  while (loop_.now() < until || since_began() < faults_end_s) co_await loop_.sleep(seconds(0.2));
+  const Time until = started_at_ + seconds(plan_.arrivals_s);
+  for (std::size_t c = 0; c < plan_.classes.size(); ++c) rt::spawn(users_.submit_jobs(c, until));
+  rt::spawn(users_.poll_unknown_jobs(until));
+  while (loop_.now() < until || elapsed_s() < faults_end_s) co_await loop_.sleep(seconds(0.2));
   rules_.all_faults_over(loop_.now());
-  const Time drained = loop_.now() + seconds(plan_.drain_s);
-  while (users_.open() > 0 && loop_.now() < drained) co_await loop_.sleep(seconds(0.2));
+  const Time drain_deadline = loop_.now() + seconds(plan_.drain_s);
+  while (users_.open_jobs() > 0 && loop_.now() < drain_deadline) co_await loop_.sleep(seconds(0.2));
   rules_.finish(loop_.now());
-  over_ = true;
+  finished_ = true;
 }
 
 void Cell::write_result() {
   json starts = json::array();
   json running = json::array();
-  for (const auto& s : seconds_) {
+  for (const auto& s : samples_) {
     starts.push_back(s.started);
     running.push_back(s.on_machines);
   }
   std::size_t lost_to_lease = 0;
   for (const auto& w : cloud_.workers()) lost_to_lease += w->model().lost_to_lease();
   const auto& t = workers_.traffic;
-  json result = users_.result(began_);
+  json result = users_.result(started_at_);
   result["breaches"] = rules_.violations();
   result["started"] = rules_.started();
-  result["open_jobs"] = users_.open();
-  result["length_s"] = since_began();
+  result["open_jobs"] = users_.open_jobs();
+  result["length_s"] = elapsed_s();
   result["starts_a_second"] = starts;
   result["on_machines"] = running;
   result["workers"] = {{"machines", cloud_.workers().size()},
--- a/scale/cell.hpp
+++ b/scale/cell.hpp
@@ -1,5 +1,5 @@
-// All of a cell that is not a controller or its state service: hollow workers, the cloud, users, and the judge, in one
-// process, so that what workers and users saw has one order.
+// The parts of a cell besides the controllers and the state service: hollow workers, the cloud, users and the rule
+// checker. They run in one process so that the observations of workers and users have a total order.
 #pragma once
 #include "scale/balancer.hpp"
 #include "scale/cloud.hpp"
@@ -11,14 +11,15 @@
 class Cell {
  public:
   Cell(rt::Loop& loop, CellPlan plan);
-  int run();  // to its end; writes the result; 1 where a rule was broken
+  // Runs the plan and writes the result. Returns 0, or 1 if a rule was violated.
+  int run();
 
  private:
-  rt::Task<void> ticks();
+  rt::Task<void> tick_loop();
   rt::Task<void> run_plan();
   rt::Task<void> run_event(Event event);
   void write_result();
-  [[nodiscard]] double since_began() const { return to_seconds(loop_.now() - began_); }
+  [[nodiscard]] double elapsed_s() const { return to_seconds(loop_.now() - started_at_); }
 
   rt::Loop& loop_;
   CellPlan plan_;
@@ -28,12 +29,12 @@
   Cloud cloud_;
   Balancer balancer_;
   Users users_;
-  Time began_{};
-  bool over_ = false;
-  struct Second {
+  Time started_at_{};
+  bool finished_ = false;
+  struct Sample {
     std::size_t started = 0, on_machines = 0;
   };
-  std::vector<Second> seconds_;
+  std::vector<Sample> samples_;
   double busiest_worker_bytes_ = 0, longest_tick_s_ = 0;
 };
 
--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -8,10 +8,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t first_name = 100'000;
-constexpr std::size_t most_listed = 500;
+constexpr std::size_t first_machine_number = 100'000;
+constexpr std::size_t list_page_size = 500;
 
-std::string argument(const std::string& target, const std::string& name) {
+std::string query_parameter(const std::string& target, const std::string& name) {
   const auto at = target.find(name + "=");
   if (at == std::string::npos) return {};
   const auto from = at + name.size() + 1;
@@ -27,15 +27,15 @@
       server_(loop, *rt::Endpoint::parse(plan.cloud_listen), {},
               [this](rt::HttpMessage m) { return handle(std::move(m)); }) {}
 
-HollowWorker& Cloud::add(const MachineType& type, const std::string& zone, bool spot, Time boots) {
+HollowWorker& Cloud::add(const MachineType& type, const std::string& zone, bool spot, Time boot_time) {
   stand_ins::MachineTraits traits;
-  traits.id = MachineId{"i-" + std::to_string(first_name + workers_.size())};
+  traits.id = MachineId{"i-" + std::to_string(first_machine_number + workers_.size())};
   traits.type = type.name;
   traits.zone = zone;
   traits.spot = spot;
   traits.room = type.capacity;
   traits.cache_gb = type.cache_gb;
-  workers_.push_back(std::make_unique<HollowWorker>(fleet_, std::move(traits), boots));
+  workers_.push_back(std::make_unique<HollowWorker>(fleet_, std::move(traits), boot_time));
   workers_.back()->run();
   return *workers_.back();
 }
@@ -47,38 +47,38 @@
     spare_[group.type] = group.spare;
     const auto type = std::ranges::find(plan_.types, group.type, &MachineType::name);
     for (std::size_t i = 0; i < group.count; ++i) {
-      // Their first reports spread over an interval, as those of machines that have been up for long.
-      const Time boots = now + seconds(fleet_.roll() * plan_.timings.heartbeat_interval_s);
-      add(*type, plan_.zones.at(i % plan_.zones.size()), false, boots);
+      // Spreads the first heartbeats over an interval, as those of machines that have been up for a long time.
+      const Time boot_time = now + seconds(fleet_.uniform() * plan_.timings.heartbeat_interval_s);
+      add(*type, plan_.zones.at(i % plan_.zones.size()), false, boot_time);
     }
   }
 }
 
-rt::HttpResponse Cloud::scale_out(const json& wanted) {
-  const auto name = wanted.at("hire").get<std::string>();
+rt::HttpResponse Cloud::scale_out(const json& body) {
+  const auto name = body.at("hire").get<std::string>();
   if (const auto known = scale_out_responses_.find(name); known != scale_out_responses_.end())
     return {200, known->second, {}, false};
-  const auto type = std::ranges::find(plan_.types, wanted.at("breed").get<std::string>(), &MachineType::name);
+  const auto type = std::ranges::find(plan_.types, body.at("breed").get<std::string>(), &MachineType::name);
   if (type == plan_.types.end()) return {400, "{}", {}, false};
   auto& spare = spare_[type->name];
   json hosts = json::array();
-  const auto count = wanted.at("count").get<std::size_t>();
+  const auto count = body.at("count").get<std::size_t>();
   for (; spare > 0 && hosts.size() < count; --spare) {
-    const Time boots = loop_.now() + seconds(type->boot_s * (0.6 + 0.9 * fleet_.roll()));
-    hosts.push_back(add(*type, wanted.at("yard"), wanted.at("loaners"), boots).model().traits().id.value());
+    const Time boot_time = loop_.now() + seconds(type->boot_s * (0.6 + 0.9 * fleet_.uniform()));
+    hosts.push_back(add(*type, body.at("yard"), body.at("loaners"), boot_time).model().traits().id.value());
   }
   if (hosts.empty()) return {503, R"({"error":"no capacity"})", {}, false};
   scale_out_responses_[name] = json{{"hosts", hosts}}.dump();
   return {200, scale_out_responses_[name], {}, false};
 }
 
-rt::HttpResponse Cloud::release(const json& wanted) {
-  for (const auto& host : wanted.at("hosts")) {
+rt::HttpResponse Cloud::release(const json& body) {
+  for (const auto& host : body.at("hosts")) {
     const auto name = host.get<std::string>();
     const auto by_name = [](const auto& w) -> const std::string& { return w->model().traits().id.value(); };
     const auto it = std::ranges::lower_bound(workers_, name, {}, by_name);
-    const bool there = it != workers_.end() && by_name(*it) == name && !(*it)->model().gone();
-    if (!there) continue;
+    const bool exists = it != workers_.end() && by_name(*it) == name && !(*it)->model().gone();
+    if (!exists) continue;
     (*it)->model().take_away();
     ++spare_[(*it)->model().traits().type];
   }
@@ -86,13 +86,13 @@
 }
 
 rt::HttpResponse Cloud::list(const std::string& target) const {
-  const std::string after = argument(target, "after");
+  const std::string after = query_parameter(target, "after");
   json hosts = json::array();
   bool more = false;
   for (const auto& w : workers_) {
     const auto& t = w->model().traits();
     if (w->model().gone() || t.id.value() <= after) continue;
-    more = hosts.size() >= most_listed;
+    more = hosts.size() >= list_page_size;
     if (more) break;
     hosts.push_back({{"ref", t.id.value()},
                      {"endpoint", t.endpoint},
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -1,4 +1,4 @@
-// A worker of the scale run: the stand-in's model behind HTTP, in real time, thousands in a process.
+// A worker of the scale run: the stand-in's worker model behind HTTP, in real time. One process runs thousands.
 #pragma once
 #include <functional>
 #include <string>
@@ -11,43 +11,47 @@
 
 namespace martenwall::scale {
 
-// What the workers of one process share.
+// State that the workers of one process share.
 struct WorkerFleet {
   rt::Loop& loop;
-  stand_ins::WorkerContext world;
+  stand_ins::WorkerContext context;
   const std::vector<ControllerAddress>& controllers;
-  std::vector<std::string> names;  // theirs
-  std::function<double()> roll;    // 0 to 1
+  std::vector<std::string> controller_names;
+  std::function<double()> uniform;  // random number from 0 to 1
   struct Traffic {
     std::uint64_t reports = 0, answered = 0, report_bytes = 0, answer_bytes = 0, commands = 0, command_bytes = 0;
   } traffic;
 };
 
-// One worker with its HTTP client and server; it sends heartbeats and executes commands, but runs nothing.
+// A worker with its HTTP client and server. It sends heartbeats and accepts commands, but runs no programs.
 class HollowWorker {
  public:
-  HollowWorker(WorkerFleet& fleet, stand_ins::MachineTraits traits, Time boots);
-  void run();                                                             // its loops, spawned
-  void tick() { model_.tick(fleet_.loop.now(), false); }                  // tasks, and the end of its lease
-  void wake_if_changed();                                                 // so that it reports
-  void cut_for(Duration time) { cut_until_ = fleet_.loop.now() + time; }  // no one reaches it, it reaches no one
-  // The machine starts anew: all tasks are gone, the next incarnation begins.
+  HollowWorker(WorkerFleet& fleet, stand_ins::MachineTraits traits, Time boot_time);
+  // Starts the server and the heartbeat loop.
+  void run();
+  // Advances the tasks and the lease.
+  void tick() { model_.tick(fleet_.loop.now(), false); }
+  // Wakes the heartbeat loop if the state changed.
+  void wake_if_changed();
+  // Drops all messages to and from the worker for that time.
+  void partition_for(Duration time) { partitioned_until_ = fleet_.loop.now() + time; }
+  // Restarts the machine: all tasks are lost and the next incarnation begins.
   void restart();
   [[nodiscard]] stand_ins::WorkerModel& model() { return model_; }
   [[nodiscard]] const std::string& zone() const { return model_.traits().zone; }
-  // Bytes of its reports and their answers, commands and theirs, since the last call.
-  std::uint64_t take_bytes() { return std::exchange(bytes_, 0); }
+  // Returns the bytes of heartbeats, commands and the responses to both since the last call.
+  std::uint64_t reset_traffic_bytes() { return std::exchange(bytes_, 0); }
 
  private:
   rt::Task<void> heartbeat_loop();
   rt::Task<rt::HttpResponse> serve(rt::HttpMessage request);
-  void take_answer(const rt::HttpResult& result, Time sent, std::uint64_t incarnation);
-  [[nodiscard]] bool cut() const { return fleet_.loop.now() < cut_until_; }
+  void handle_heartbeat_response(const rt::HttpResult& result, Time sent, std::uint64_t incarnation);
+  [[nodiscard]] bool partitioned() const { return fleet_.loop.now() < partitioned_until_; }
 
   WorkerFleet& fleet_;
   stand_ins::WorkerModel model_;
   stand_ins::HeartbeatRoute route_;
-  Time last_heartbeat_at_{}, cut_until_{};
+  Time last_heartbeat_at_{}, partitioned_until_{};
   std::uint64_t bytes_ = 0;
   rt::Event wake_;
   rt::HttpClient client_;
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -9,35 +9,35 @@
 using nlohmann::json;
 
 template <class T>
-T value(const json& object, const char* name) {
+T required(const json& object, const char* name) {
   if (!object.is_object() || !object.contains(name)) throw PlanError(std::string{"plan: '"} + name + "' is missing");
   try {
     return object.at(name).get<T>();
   } catch (const json::exception&) {
-    throw PlanError(std::string{"plan: '"} + name + "' is of the wrong type");
+    throw PlanError(std::string{"plan: '"} + name + "' has the wrong type");
   }
 }
 
 template <class T>
-T value_or(const json& object, const char* name, T fallback) {
-  return object.contains(name) ? value<T>(object, name) : fallback;
+T optional(const json& object, const char* name, T fallback) {
+  return object.contains(name) ? required<T>(object, name) : fallback;
 }
 
-Resources resources(const json& o) {
-  return {value_or(o, "cpus", 0.0), value_or(o, "gpus", 0.0), value_or(o, "memory_gb", 0.0)};
+Resources parse_resources(const json& object) {
+  return {optional(object, "cpus", 0.0), optional(object, "gpus", 0.0), optional(object, "memory_gb", 0.0)};
 }
 
-std::vector<Team> teams_of(const json& list) {
+std::vector<Team> parse_teams(const json& list) {
   std::vector<Team> out;
   for (const auto& t : list) {
-    out.push_back({value<std::string>(t, "name"),
-                   {value_or(t, "cpus", 0.0), value_or(t, "gpus", 0.0), 0},
-                   {value_or(t, "cpus_max", 0.0), value_or(t, "gpus_max", 0.0), 0}});
+    out.push_back({required<std::string>(t, "name"),
+                   {optional(t, "cpus", 0.0), optional(t, "gpus", 0.0), 0},
+                   {optional(t, "cpus_max", 0.0), optional(t, "gpus_max", 0.0), 0}});
   }
   return out;
 }
 
-Priority rank_of(const std::string& name) {
+Priority parse_priority(const std::string& name) {
   if (name == "prod") return Priority::production;
   if (name == "high") return Priority::high;
   if (name == "normal") return Priority::normal;
@@ -45,97 +45,99 @@
   throw PlanError("plan: 'rank' must be prod, high, normal or best_effort");
 }
 
-JobClass class_of(const json& o) {
-  JobClass c;
-  c.name = value<std::string>(o, "name");
-  c.spec.job_class = c.name;
-  c.spec.kind = value<std::string>(o, "shape") == "gang" ? JobKind::gang : JobKind::array;
-  c.spec.priority = rank_of(value<std::string>(o, "rank"));
-  c.spec.need = resources(o);
-  c.spec.one_zone = value_or(o, "one_zone", false);
-  c.spec.spread = value_or(o, "spread", false);
-  if (o.contains("types")) c.spec.types = value<std::vector<std::string>>(o, "types");
-  c.spec.checkpoint_interval_s = value_or(o, "checkpoint_s", 0.0);
-  c.spec.checkpoint_duration_s = value_or(o, "save_s", 0.0);
-  if (o.contains("deadline_s")) c.spec.deadline_s = value<double>(o, "deadline_s");
-  c.per_second = value<double>(o, "per_second");
-  c.at_start = value_or(o, "at_start", std::size_t{0});
-  c.sizes = value<std::vector<std::uint32_t>>(o, "sizes");
-  c.weights = value_or(o, "weights", std::vector<double>(c.sizes.size(), 1.0));
-  if (c.sizes.empty() || c.weights.size() != c.sizes.size()) throw PlanError("plan: 'weights' must match 'sizes'");
-  c.run_median_s = value<double>(o, "run_median_s");
-  c.run_most_s = value_or(o, "run_most_s", 2 * c.run_median_s);
-  c.images = value_or(o, "images", std::size_t{1});
-  c.image_gb = value_or(o, "image_gb", 1.0);
-  c.cancelled = value_or(o, "cancelled", 0.0);
-  return c;
+JobClass parse_job_class(const json& object) {
+  JobClass job_class;
+  job_class.name = required<std::string>(object, "name");
+  job_class.spec.job_class = job_class.name;
+  job_class.spec.kind = required<std::string>(object, "shape") == "gang" ? JobKind::gang : JobKind::array;
+  job_class.spec.priority = parse_priority(required<std::string>(object, "rank"));
+  job_class.spec.need = parse_resources(object);
+  job_class.spec.one_zone = optional(object, "one_zone", false);
+  job_class.spec.spread = optional(object, "spread", false);
+  if (object.contains("types")) job_class.spec.types = required<std::vector<std::string>>(object, "types");
+  job_class.spec.checkpoint_interval_s = optional(object, "checkpoint_s", 0.0);
+  job_class.spec.checkpoint_duration_s = optional(object, "save_s", 0.0);
+  if (object.contains("deadline_s")) job_class.spec.deadline_s = required<double>(object, "deadline_s");
+  job_class.per_second = required<double>(object, "per_second");
+  job_class.at_start = optional(object, "at_start", std::size_t{0});
+  job_class.sizes = required<std::vector<std::uint32_t>>(object, "sizes");
+  job_class.weights = optional(object, "weights", std::vector<double>(job_class.sizes.size(), 1.0));
+  if (job_class.sizes.empty() || job_class.weights.size() != job_class.sizes.size())
+    throw PlanError("plan: 'weights' must match 'sizes'");
+  job_class.run_median_s = required<double>(object, "run_median_s");
+  job_class.max_run_s = optional(object, "run_most_s", 2 * job_class.run_median_s);
+  job_class.images = optional(object, "images", std::size_t{1});
+  job_class.image_gb = optional(object, "image_gb", 1.0);
+  job_class.cancel_fraction = optional(object, "cancelled", 0.0);
+  return job_class;
 }
 
-Event event_of(const json& o) {
-  Event e;
-  const auto kind = value<std::string>(o, "kind");
-  e.at_s = value<double>(o, "at_s");
-  e.for_s = value_or(o, "for_s", 0.0);
+Event parse_event(const json& object) {
+  Event event;
+  const auto kind = required<std::string>(object, "kind");
+  event.at_s = required<double>(object, "at_s");
+  event.for_s = optional(object, "for_s", 0.0);
   if (kind == "cut_zone") {
-    e.zone = value<std::string>(o, "zone");
+    event.zone = required<std::string>(object, "zone");
   } else if (kind == "restart_workers") {
-    e.kind = Event::Kind::restart_workers;
-    e.part_per_minute = value<double>(o, "part_per_minute");
+    event.kind = Event::Kind::restart_workers;
+    event.restarts_per_minute = required<double>(object, "part_per_minute");
   } else if (kind == "limits") {
-    e.kind = Event::Kind::limits;
-    e.teams = teams_of(value<json>(o, "teams"));
+    event.kind = Event::Kind::limits;
+    event.teams = parse_teams(required<json>(object, "teams"));
   } else {
     throw PlanError("plan: unknown 'kind' of event: " + kind);
   }
-  return e;
+  return event;
 }
 
 }  // namespace
 
 StorePlan parse_store_plan(const json& plan) {
-  StorePlan p;
-  p.listen = value<std::string>(plan, "listen");
-  p.control = value<std::string>(plan, "control");
-  p.limits.requests_per_s = value<double>(plan, "requests_per_s");
-  p.limits.changes_per_s = value<double>(plan, "changes_per_s");
-  p.limits.value_bytes = value<std::size_t>(plan, "value_bytes");
-  p.limits.txn_changes = value<std::size_t>(plan, "txn_changes");
-  p.latency = seconds(value_or(plan, "latency_ms", 0.0) / 1000);
-  return p;
+  StorePlan parsed;
+  parsed.listen = required<std::string>(plan, "listen");
+  parsed.control = required<std::string>(plan, "control");
+  parsed.limits.requests_per_s = required<double>(plan, "requests_per_s");
+  parsed.limits.changes_per_s = required<double>(plan, "changes_per_s");
+  parsed.limits.value_bytes = required<std::size_t>(plan, "value_bytes");
+  parsed.limits.txn_changes = required<std::size_t>(plan, "txn_changes");
+  parsed.latency = seconds(optional(plan, "latency_ms", 0.0) / 1000);
+  return parsed;
 }
 
 CellPlan parse_cell_plan(const json& plan) {
-  CellPlan p;
-  p.cloud_listen = value<std::string>(plan, "cloud_listen");
-  p.result = value<std::string>(plan, "result");
-  for (const auto& c : value<json>(plan, "controllers")) {
-    p.controllers.push_back({value<std::string>(c, "name"), value<std::string>(c, "users")});
+  CellPlan parsed;
+  parsed.cloud_listen = required<std::string>(plan, "cloud_listen");
+  parsed.result = required<std::string>(plan, "result");
+  for (const auto& controller : required<json>(plan, "controllers")) {
+    parsed.controllers.push_back(
+        {required<std::string>(controller, "name"), required<std::string>(controller, "users")});
   }
-  const auto w = value<json>(plan, "workers");
-  p.timings = {value<double>(w, "report_s"), value<double>(w, "lease_s"), value<double>(w, "gang_wait_s"),
-               value<double>(w, "gang_peer_s"), value<double>(w, "cancel_s")};
-  p.flavors = value<json>(plan, "flavors").dump();
-  const auto types = wire::parse_types(p.flavors);
-  if (!types) throw PlanError("plan: 'flavors' cannot be read");
-  p.types = *types;
-  p.zones = value<std::vector<std::string>>(plan, "zones");
-  if (p.zones.empty()) throw PlanError("plan: 'zones' is empty");
-  for (const auto& m : value<json>(plan, "machines")) {
-    p.machines.push_back(
-        {value<std::string>(m, "type"), value<std::size_t>(m, "count"), value_or(m, "spare", std::size_t{0})});
+  const auto w = required<json>(plan, "workers");
+  parsed.timings = {required<double>(w, "report_s"), required<double>(w, "lease_s"), required<double>(w, "gang_wait_s"),
+                    required<double>(w, "gang_peer_s"), required<double>(w, "cancel_s")};
+  parsed.flavors = required<json>(plan, "flavors").dump();
+  const auto types = wire::parse_types(parsed.flavors);
+  if (!types) throw PlanError("plan: 'flavors' cannot be parsed");
+  parsed.types = *types;
+  parsed.zones = required<std::vector<std::string>>(plan, "zones");
+  if (parsed.zones.empty()) throw PlanError("plan: 'zones' is empty");
+  for (const auto& m : required<json>(plan, "machines")) {
+    parsed.machines.push_back(
+        {required<std::string>(m, "type"), required<std::size_t>(m, "count"), optional(m, "spare", std::size_t{0})});
     const bool known =
-        std::ranges::any_of(p.types, [&](const MachineType& t) { return t.name == p.machines.back().type; });
-    if (!known) throw PlanError("plan: 'machines' names an unknown type: " + p.machines.back().type);
+        std::ranges::any_of(parsed.types, [&](const MachineType& t) { return t.name == parsed.machines.back().type; });
+    if (!known) throw PlanError("plan: 'machines' names an unknown type: " + parsed.machines.back().type);
   }
-  p.teams = teams_of(value<json>(plan, "teams"));
-  if (p.teams.empty()) throw PlanError("plan: 'teams' is empty");
-  for (const auto& c : value<json>(plan, "classes")) p.classes.push_back(class_of(c));
-  for (const auto& e : value_or(plan, "events", json::array())) p.events.push_back(event_of(e));
-  p.begin_s = value_or(plan, "begin_s", p.begin_s);
-  p.arrivals_s = value<double>(plan, "arrivals_s");
-  p.drain_s = value_or(plan, "drain_s", p.drain_s);
-  p.seed = value_or(plan, "seed", p.seed);
-  return p;
+  parsed.teams = parse_teams(required<json>(plan, "teams"));
+  if (parsed.teams.empty()) throw PlanError("plan: 'teams' is empty");
+  for (const auto& job_class : required<json>(plan, "classes")) parsed.classes.push_back(parse_job_class(job_class));
+  for (const auto& event : optional(plan, "events", json::array())) parsed.events.push_back(parse_event(event));
+  parsed.begin_s = optional(plan, "begin_s", parsed.begin_s);
+  parsed.arrivals_s = required<double>(plan, "arrivals_s");
+  parsed.drain_s = optional(plan, "drain_s", parsed.drain_s);
+  parsed.seed = optional(plan, "seed", parsed.seed);
+  return parsed;
 }
 
 }  // namespace martenwall::scale
--- a/scale/store_server.cpp
+++ b/scale/store_server.cpp
@@ -6,16 +6,16 @@
 
 using nlohmann::json;
 
-constexpr Duration tick_every = seconds(0.05);
-constexpr std::size_t most_connections = 4000;
+constexpr Duration tick_interval = seconds(0.05);
+constexpr std::size_t max_store_connections = 4000;
 
-rt::HttpServer::Limits bounds() {
-  rt::HttpServer::Limits b;
-  b.max_connections = most_connections;
-  return b;
+rt::HttpServer::Limits server_limits() {
+  rt::HttpServer::Limits limits;
+  limits.max_connections = max_store_connections;
+  return limits;
 }
 
-rt::HttpResponse refusal() { return {429, R"({"error":"too many requests"})", {}, false}; }
+rt::HttpResponse too_many_requests() { return {429, R"({"error":"too many requests"})", {}, false}; }
 
 }  // namespace
 
@@ -24,7 +24,7 @@
       plan_(std::move(plan)),
       model_(plan_.limits),
       changed_(loop),
-      server_(loop, *rt::Endpoint::parse(plan_.listen), bounds(),
+      server_(loop, *rt::Endpoint::parse(plan_.listen), server_limits(),
               [this](rt::HttpMessage m) { return handle(std::move(m)); }),
       control_(loop, *rt::Endpoint::parse(plan_.control), {},
                [this](rt::HttpMessage m) { return control(std::move(m)); }) {}
@@ -32,15 +32,15 @@
 void StoreServer::run() {
   rt::spawn(server_.serve());
   rt::spawn(control_.serve());
-  rt::spawn(ticks());
+  rt::spawn(tick_loop());
 }
 
-rt::Task<void> StoreServer::ticks() {
+rt::Task<void> StoreServer::tick_loop() {
   for (;;) {
     const auto before = model_.changes();
     model_.tick(loop_.update_time());
     if (model_.changes() != before) changed_.notify();
-    co_await loop_.sleep(tick_every);
+    co_await loop_.sleep(tick_interval);
   }
 }
 
@@ -49,7 +49,7 @@
   counts_.bytes_in += request.body.size();
   if (!model_.takes_request(loop_.update_time())) {
     ++counts_.refused;
-    co_return refusal();
+    co_return too_many_requests();
   }
   if (plan_.latency > Duration{0}) co_await loop_.sleep(plan_.latency);
   if (request.target.starts_with("/watch")) co_return co_await watch(std::move(request.target));
@@ -61,7 +61,7 @@
   const json txn = json::parse(request.body);
   if (!model_.takes_changes(txn.at("then").size(), loop_.now())) {
     ++counts_.refused;
-    co_return refusal();
+    co_return too_many_requests();
   }
   auto reply = model_.commit(txn, loop_.update_time());
   if (!txn.at("then").empty()) ++(reply.status == 200 ? counts_.transactions : counts_.conflicts);
@@ -73,13 +73,13 @@
   const auto watch = stand_ins::StoreModel::parse_watch(target);
   const Time until = loop_.now() + watch.hold;
   for (;;) {
-    auto told = model_.look(watch, loop_.now() >= until);
-    if (told) co_return rt::HttpResponse{told->status, std::move(told->body), {}, false};
+    auto response = model_.look(watch, loop_.now() >= until);
+    if (response) co_return rt::HttpResponse{response->status, std::move(response->body), {}, false};
     co_await changed_.wait(until);
   }
 }
 
-// For the run's own questions: no limit, not counted.
+// Serves the requests of the scale run itself, which are neither limited nor counted.
 rt::Task<rt::HttpResponse> StoreServer::control(rt::HttpMessage request) {
   if (request.target == "/counters") {
     const json counters{{"requests", counts_.requests},         {"refused", counts_.refused},
--- a/scale/store_server.hpp
+++ b/scale/store_server.hpp
@@ -1,21 +1,22 @@
-// The state service of one cell: the stand-in's store behind HTTP, in real time.
+// The state service of one cell: the stand-in's store model behind HTTP, in real time.
 #pragma once
 #include "runtime/http_server.hpp"
 #include "scale/plan.hpp"
 
 namespace martenwall::scale {
 
-// Serves the key-value API, and on a second port the control API that brings about outages.
+// Serves the key-value API, and on a second port a control API with counters and unlimited access to the store.
 class StoreServer {
  public:
   StoreServer(rt::Loop& loop, StorePlan plan);
-  void run();  // its loops, spawned
+  // Starts both servers and the tick loop.
+  void run();
 
  private:
   rt::Task<rt::HttpResponse> handle(rt::HttpMessage request);
   rt::Task<rt::HttpResponse> watch(std::string target);
   rt::Task<rt::HttpResponse> control(rt::HttpMessage request);
-  rt::Task<void> ticks();
+  rt::Task<void> tick_loop();
 
   rt::Loop& loop_;
   StorePlan plan_;
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -11,12 +11,12 @@
 using nlohmann::json;
 
 // PROTOCOL, "Users -> controller nodes".
-constexpr Duration submit_limit = seconds(5), submit_patience = seconds(60);
-constexpr Duration poll_limit = seconds(2), poll_every = seconds(5);
-constexpr Duration unknown_every = seconds(2);
-constexpr double run_spread = 0.35;  // sigma of the run times' logarithm
+constexpr Duration submit_timeout = seconds(5), submit_retry_period = seconds(60);
+constexpr Duration poll_timeout = seconds(2), poll_interval = seconds(5);
+constexpr Duration unknown_job_poll_interval = seconds(2);
+constexpr double run_time_sigma = 0.35;  // standard deviation of the logarithm of run times
 
-std::string numbered(std::size_t n) {
+std::string job_name(std::size_t n) {
   const std::string number = std::to_string(n);
   return "job-" + std::string(number.size() < 6 ? 6 - number.size() : 0, '0') + number;
 }
@@ -33,16 +33,16 @@
   ++errors_[answered ? std::to_string(r.status) : not_sent ? "not sent" : "no answer"];
 }
 
-JobId Users::draw(const JobClass& c) {
+JobId Users::draw_job(const JobClass& c) {
   JobSpec spec = c.spec;
-  spec.id = JobId{numbered(++next_job_)};
-  spec.team = plan_.teams.at(static_cast<std::size_t>(roll() * static_cast<double>(plan_.teams.size()))).name;
+  spec.id = JobId{job_name(++next_job_)};
+  spec.team = plan_.teams.at(static_cast<std::size_t>(uniform() * static_cast<double>(plan_.teams.size()))).name;
   spec.tasks = c.sizes.at(boost::random::discrete_distribution<std::size_t, double>{c.weights}(random_));
-  spec.image = c.name + "-" + std::to_string(static_cast<std::size_t>(roll() * static_cast<double>(c.images)));
+  spec.image = c.name + "-" + std::to_string(static_cast<std::size_t>(uniform() * static_cast<double>(c.images)));
   spec.image_gb = c.image_gb;
-  const double drawn = boost::random::lognormal_distribution<double>{std::log(c.run_median_s), run_spread}(random_);
-  const double run_s = std::min(c.run_most_s, drawn);
-  spec.estimate_s = run_s * (0.6 + 0.8 * roll());
+  const double drawn = boost::random::lognormal_distribution<double>{std::log(c.run_median_s), run_time_sigma}(random_);
+  const double run_s = std::min(c.max_run_s, drawn);
+  spec.estimate_s = run_s * (0.6 + 0.8 * uniform());
   const JobId id = spec.id;
   rules_.add(std::move(spec), run_s, loop_.now());
   return id;
@@ -50,12 +50,12 @@
 
 void Users::submit(std::size_t job_class) {
   const auto& c = plan_.classes.at(job_class);
-  const bool cancels = roll() < c.cancelled;
-  ++open_;
-  rt::spawn(user(draw(c), cancels));
+  const bool cancels = uniform() < c.cancel_fraction;
+  ++open_jobs_;
+  rt::spawn(simulate_user(draw_job(c), cancels));
 }
 
-rt::Task<void> Users::arrive(std::size_t job_class, Time until) {
+rt::Task<void> Users::submit_jobs(std::size_t job_class, Time until) {
   const auto& c = plan_.classes.at(job_class);
   for (std::size_t i = 0; i < c.at_start; ++i) submit(job_class);
   while (c.per_second > 0) {
@@ -67,10 +67,10 @@
 }
 
 rt::Task<bool> Users::poll(JobId id) {
-  ++polls_;
+  ++poll_count_;
   const stand_ins::Ordinal sent = rules_.on_request_sent();
   std::string target = "/api/jobs/" + id.value();
-  const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_limit);
+  const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_timeout);
   count_error(r);
   if (r.ok()) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
   if (r.outcome == rt::Outcome::answered && r.status == 404) rules_.on_permanent_refusal(id, 404, sent, loop_.now());
@@ -79,12 +79,12 @@
 }
 
 rt::Task<void> Users::cancel(JobId id) {
-  ++cancels_;
+  ++cancel_count_;
   rules_.jobs().at(id).cancel_asked = loop_.now();
   for (;;) {
     const stand_ins::Ordinal sent = rules_.on_request_sent();
     std::string target = "/api/jobs/" + id.value() + "/cancel";
-    const rt::HttpResult r = co_await balancer_.request("POST", std::move(target), "", submit_limit);
+    const rt::HttpResult r = co_await balancer_.request("POST", std::move(target), "", submit_timeout);
     count_error(r);
     if (r.ok()) {
       rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
@@ -94,43 +94,43 @@
   }
 }
 
-rt::Task<void> Users::user(JobId id, bool cancels) {
+rt::Task<void> Users::simulate_user(JobId id, bool cancels) {
   const std::string body = wire::encode_job(rules_.job(id).spec).dump();
   const Time began = loop_.now();
-  while (!rules_.job(id).accepted && loop_.now() < began + submit_patience) {
+  while (!rules_.job(id).accepted && loop_.now() < began + submit_retry_period) {
     const stand_ins::Ordinal sent = rules_.on_request_sent();
-    std::string copy = body;
-    const rt::HttpResult r = co_await balancer_.request("POST", "/api/jobs", std::move(copy), submit_limit);
+    std::string body_copy = body;
+    const rt::HttpResult r = co_await balancer_.request("POST", "/api/jobs", std::move(body_copy), submit_timeout);
     count_error(r);
-    const bool taken = r.outcome == rt::Outcome::answered && (r.status == 200 || r.status == 201);
-    if (taken) {
+    const bool accepted = r.outcome == rt::Outcome::answered && (r.status == 200 || r.status == 201);
+    if (accepted) {
       rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
       submit_s_.push_back(to_seconds(loop_.now() - began));
       break;
     }
-    const bool never = r.outcome == rt::Outcome::answered && (r.status == 400 || r.status == 422);
-    if (never) rules_.on_permanent_refusal(id, r.status, sent, loop_.now());
-    if (never) break;
-    co_await loop_.sleep(seconds(1 + roll()));
+    const bool rejected = r.outcome == rt::Outcome::answered && (r.status == 400 || r.status == 422);
+    if (rejected) rules_.on_permanent_refusal(id, r.status, sent, loop_.now());
+    if (rejected) break;
+    co_await loop_.sleep(seconds(1 + uniform()));
   }
-  bool over = !rules_.job(id).accepted;
-  const Time cancels_at = cancels ? loop_.now() + seconds(rules_.job(id).run_s * roll()) : Time::max();
-  while (!over) {
-    co_await loop_.sleep(seconds(to_seconds(poll_every) * (0.8 + 0.4 * roll())));
-    if (loop_.now() >= cancels_at && !rules_.job(id).cancel_asked) co_await cancel(id);
-    over = co_await poll(id);
+  bool finished = !rules_.job(id).accepted;
+  const Time cancel_at = cancels ? loop_.now() + seconds(rules_.job(id).run_s * uniform()) : Time::max();
+  while (!finished) {
+    co_await loop_.sleep(seconds(to_seconds(poll_interval) * (0.8 + 0.4 * uniform())));
+    if (loop_.now() >= cancel_at && !rules_.job(id).cancel_asked) co_await cancel(id);
+    finished = co_await poll(id);
   }
-  --open_;
+  --open_jobs_;
 }
 
-rt::Task<void> Users::ask_about_unknown(Time until) {
-  constexpr std::size_t never_submitted = 900'000;
+rt::Task<void> Users::poll_unknown_jobs(Time until) {
+  constexpr std::size_t first_unknown_job = 900'000;
   while (loop_.now() < until) {
-    const JobId id{numbered(never_submitted + static_cast<std::size_t>(roll() * 1000))};
+    const JobId id{job_name(first_unknown_job + static_cast<std::size_t>(uniform() * 1000))};
     std::string target = "/api/jobs/" + id.value();
-    const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_limit);
+    const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_timeout);
     if (r.ok()) rules_.on_unknown_job_known(id, loop_.now());
-    co_await loop_.sleep(unknown_every);
+    co_await loop_.sleep(unknown_job_poll_interval);
   }
 }
 
@@ -156,7 +156,11 @@
     c["begin_delay_s"].push_back(to_seconds(*w.begun - w.submitted));
     c["submitted_s"].push_back(to_seconds(w.submitted - began));
   }
-  return {{"classes", classes}, {"submit_s", submit_s_}, {"errors", errors_}, {"polls", polls_}, {"cancels", cancels_}};
+  return {{"classes", classes},
+          {"submit_s", submit_s_},
+          {"errors", errors_},
+          {"polls", poll_count_},
+          {"cancels", cancel_count_}};
 }
 
 }  // namespace martenwall::scale
--- a/tests/architecture_test.cpp
+++ b/tests/architecture_test.cpp
@@ -1,4 +1,4 @@
-// Which package may include which (docs/architecture.md): dependencies point down and never in a circle.
+// Checks which package may include which (docs/architecture.md): dependencies point downwards and have no cycles.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace martenwall {
 namespace {
 
-const std::map<std::string, std::set<std::string>>& allowed() {
+const std::map<std::string, std::set<std::string>>& allowed_dependencies() {
   static const std::map<std::string, std::set<std::string>> table{
       {"load", {}},
       {"core", {"load"}},
@@ -30,9 +30,9 @@
   static const std::regex include{R"(^\s*#\s*include\s*"([a-z_]+)/[^"]+")"};
   std::set<std::string> out;
   std::ifstream in{file};
-  std::smatch m;
+  std::smatch match;
   for (std::string line; std::getline(in, line);) {
-    if (std::regex_search(line, m, include)) out.insert(m[1]);
+    if (std::regex_search(line, match, include)) out.insert(match[1]);
   }
   return out;
 }
@@ -43,28 +43,30 @@
   for (const auto& package : std::filesystem::directory_iterator{src}) {
     if (!package.is_directory()) continue;  // main.cpp may include all
     const auto name = package.path().filename().string();
-    ASSERT_TRUE(allowed().contains(name)) << "a new package: add it here, to README's layout and docs/architecture.md";
+    ASSERT_TRUE(allowed_dependencies().contains(name))
+        << "unknown package: add it here, to README's layout and docs/architecture.md";
     for (const auto& file : std::filesystem::recursive_directory_iterator{package}) {
       if (!file.is_regular_file()) continue;
       ++files;
       for (const auto& used : packages_included_by(file.path())) {
-        EXPECT_TRUE(used == name || allowed().at(name).contains(used)) << file.path() << " includes " << used;
+        EXPECT_TRUE(used == name || allowed_dependencies().at(name).contains(used))
+            << file.path() << " includes " << used;
       }
     }
   }
   EXPECT_GT(files, 80U);
 }
 
-// What is allowed has no circle, else the check above would show little.
+// The check above is meaningful only if the allowed dependencies have no cycle.
 TEST(architecture, allowed_includes_have_no_circle) {
-  std::set<std::string> placed;
-  for (std::size_t before = placed.size() + 1; before != placed.size();) {
-    before = placed.size();
-    for (const auto& [name, below] : allowed()) {
-      if (std::ranges::includes(placed, below)) placed.insert(name);
+  std::set<std::string> resolved;
+  for (std::size_t before = resolved.size() + 1; before != resolved.size();) {
+    before = resolved.size();
+    for (const auto& [name, dependencies] : allowed_dependencies()) {
+      if (std::ranges::includes(resolved, dependencies)) resolved.insert(name);
     }
   }
-  EXPECT_EQ(allowed().size(), placed.size());
+  EXPECT_EQ(allowed_dependencies().size(), resolved.size());
 }
 
 }  // namespace
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,4 +1,4 @@
-// What a large fleet brings: machines that come back, floods of reports, lists that go backwards.
+// Behavior of a large fleet: machines that return, floods of heartbeats, machine lists that arrive out of order.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -36,8 +36,8 @@
     scheduler.on_heartbeat_answered(r.machine, now);
     return commands;
   }
-  void run_cycles_for(double s_long) {
-    for (const Time until = now + seconds(s_long); now < until; now += seconds(0.5)) scheduler.run_cycle(now);
+  void run_cycles_for(double duration_s) {
+    for (const Time until = now + seconds(duration_s); now < until; now += seconds(0.5)) scheduler.run_cycle(now);
   }
   void list(const std::string& id, ListedMachine::Phase phase) {
     scheduler.on_machine_list({{MachineId{id}, "10.0.0.9:1", "g", "a", false, phase, 500}}, now, seconds(3), now);
@@ -45,14 +45,14 @@
   [[nodiscard]] MachinePhase phase(const std::string& id) const {
     return scheduler.machines().at(MachineId{id}).phase();
   }
-  [[nodiscard]] std::size_t logged(const std::string& text) const {
+  [[nodiscard]] std::size_t count_logged(const std::string& text) const {
     return static_cast<std::size_t>(
         std::ranges::count_if(log, [&](const auto& l) { return l.find(text) != std::string::npos; }));
   }
 };
 
-// A zone cut off for 56 s: 597 machines were returned two seconds after their leases, and hired anew while they came
-// back (own zone day of atri, 0.76 -> 0.70 when the leader was not in the zone).
+// A zone was cut off for 56 s: 597 machines were returned two seconds after their leases expired, and replaced while
+// they came back (own zone day of atri, 0.76 -> 0.70 when the leader was not in the zone).
 TEST(capacity, a_machine_silent_beyond_its_lease_is_kept_until_keeping_it_is_surely_not_worth_it) {
   FleetFixture fixture;
   fixture.send_heartbeat(FleetFixture::report("i-1", 1));
@@ -69,7 +69,8 @@
   EXPECT_EQ(MachinePhase::releasing, fixture.phase("i-1"));
 }
 
-// At four times the size hires waited a minute in a line of hundreds, half of them for kinds refused meanwhile.
+// At four times the fleet size, scale-out requests waited a minute in a queue of hundreds, half of them for machine
+// types that had been refused meanwhile.
 TEST(capacity, scale_out_requests_wait_in_a_short_queue_and_the_most_urgent_go_first) {
   auto options = FleetFixture::options();
   options.max_pending_scale_outs = 3;
@@ -93,14 +94,14 @@
   scheduler.run_cycle(now);
   auto first = scheduler.take_scale_out_requests();
   ASSERT_EQ(3U, first.size());
-  for (const auto& fixture : first) EXPECT_EQ("b", fixture.zone);
+  for (const auto& request : first) EXPECT_EQ("b", request.zone);
   scheduler.run_cycle(now + seconds(5));
-  EXPECT_TRUE(scheduler.take_scale_out_requests().empty()) << "none of the three was answered";
+  EXPECT_TRUE(scheduler.take_scale_out_requests().empty()) << "none of the three requests was answered";
   scheduler.on_scale_out_refused(first[0], now + seconds(6));
   scheduler.run_cycle(now + seconds(6));
   const auto next = scheduler.take_scale_out_requests();
   ASSERT_EQ(1U, next.size());
-  EXPECT_EQ("a", next[0].zone) << "the refused kind is left alone for a while";
+  EXPECT_EQ("a", next[0].zone) << "the refused type and zone is not requested for a while";
 }
 
 TEST(capacity, a_dead_machine_is_released_as_soon_as_the_cloud_lists_it_as_failed) {
@@ -114,13 +115,14 @@
   EXPECT_EQ(MachinePhase::releasing, fixture.phase("i-1"));
 }
 
-// 24,000 lines in five seconds: each round found the lease of each machine that was being returned ended once more.
+// Guards against 24,000 log lines in five seconds: each cycle found the expired lease of each machine that was being
+// returned again.
 TEST(capacity, a_lease_expiry_is_logged_once) {
   FleetFixture fixture;
   for (int i = 0; i < 40; ++i) fixture.send_heartbeat(FleetFixture::report(machine(i), 1));
   fixture.run_cycles_for(80);
   EXPECT_EQ(MachinePhase::releasing, fixture.phase("i-7"));
-  EXPECT_LE(fixture.logged("machine lost"), 40U);
+  EXPECT_LE(fixture.count_logged("machine lost"), 40U);
 }
 
 TEST(capacity, floods_of_unknown_machines_and_tasks_get_bounded_responses) {
@@ -134,20 +136,20 @@
     const auto commands = fixture.send_heartbeat(r);
     ASSERT_LE(commands.size(), 300U);
     ASSERT_GE(commands.size(), 1U);
-    for (const auto& o : commands) ASSERT_EQ(Command::Verb::stop, o.verb);
+    for (const auto& command : commands) ASSERT_EQ(Command::Verb::stop, command.verb);
   }
   EXPECT_EQ(3000U, fixture.scheduler.machines().size());
-  // What was beyond the first answer comes with the next ones: everything is stopped in the end.
-  std::set<std::uint32_t> left;
-  for (std::uint32_t t = 0; t < 900; ++t) left.insert(t);
-  for (std::uint64_t sequence = 2; sequence < 8 && !left.empty(); ++sequence) {
+  // Commands beyond the limit of the first response are sent with later ones, until all tasks are stopped.
+  std::set<std::uint32_t> remaining;
+  for (std::uint32_t t = 0; t < 900; ++t) remaining.insert(t);
+  for (std::uint64_t sequence = 2; sequence < 8 && !remaining.empty(); ++sequence) {
     auto r = FleetFixture::report("i-0", sequence);
-    for (const auto t : left) {
+    for (const auto t : remaining) {
       r.tasks.push_back({TaskId{JobId{"job-unknown"}, t}, Attempt{1}, TaskState::running, ExitCause::none, false});
     }
-    for (const auto& o : fixture.send_heartbeat(r)) left.erase(o.task.index);
+    for (const auto& command : fixture.send_heartbeat(r)) remaining.erase(command.task.index);
   }
-  EXPECT_TRUE(left.empty());
+  EXPECT_TRUE(remaining.empty());
 }
 
 TEST(capacity, a_machine_list_older_than_the_previous_one_removes_nothing) {
@@ -161,7 +163,8 @@
   EXPECT_EQ(MachinePhase::up, fixture.phase("i-1"));
 }
 
-// The answer to the newest report is given again where the link between nodes repeats it, and to no older one.
+// The response to the newest heartbeat is repeated if the link between nodes repeats that heartbeat. An older heartbeat
+// gets no commands.
 TEST(capacity, a_repeated_heartbeat_gets_the_same_response_and_an_older_one_gets_no_commands) {
   FleetFixture fixture;
   auto r = FleetFixture::report("i-1", 5);
@@ -173,7 +176,7 @@
 }
 
 // Found by the region's generated days: four machines idled in one zone, a gang of three that is to be spread waited
-// for ever, and nothing was hired in the other.
+// endlessly, and no machine was started in the other zone.
 TEST(capacity, a_gang_spread_over_zones_gets_machines_in_another_zone) {
   FleetFixture fixture;
   for (int i = 0; i < 4; ++i)
@@ -191,12 +194,12 @@
     fixture.scheduler.run_cycle(fixture.now);
     fixture.now += seconds(1);
   }
-  std::uint32_t hired = 0;
+  std::uint32_t requested = 0;
   for (const auto& request : fixture.scheduler.take_scale_out_requests()) {
     EXPECT_EQ("b", request.zone);
-    hired += request.count;
+    requested += request.count;
   }
-  EXPECT_EQ(2U, hired) << "one for each";
+  EXPECT_EQ(2U, requested) << "one machine for each job";
 }
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -12,7 +12,7 @@
 namespace martenwall::config {
 namespace {
 
-nlohmann::json good() {
+nlohmann::json valid_settings() {
   return nlohmann::json::parse(R"({"member":"n-0","domain":"a","bind":"127.0.0.1:1","cluster_listen":"127.0.0.1:2",
    "others":[{"member":"n-1","domain":"b","endpoint":"127.0.0.1:3"}],
    "external":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},"extra":true,
@@ -31,31 +31,31 @@
   return "";
 }
 
-TEST(settings, unknown_fields_are_ignored) { EXPECT_EQ("", error_of(good())); }
+TEST(settings, unknown_fields_are_ignored) { EXPECT_EQ("", error_of(valid_settings())); }
 
 TEST(settings, each_missing_field_is_named) {
   for (const auto& path : {"/member", "/bind", "/others/0/endpoint", "/external/state", "/facts/workers/lease_s",
                            "/facts/state/txn_ops", "/facts/teams/0/name", "/facts/resources/max_connections"}) {
-    auto j = good();
+    auto j = valid_settings();
     const nlohmann::json::json_pointer p{path};
     j[p.parent_pointer()].erase(p.back());
     const auto error = error_of(j);
     EXPECT_NE(std::string::npos, error.find(p.back())) << path << ": " << error;
     EXPECT_NE(std::string::npos, error.find("missing")) << error;
-    j = good();
+    j = valid_settings();
     j[p] = nlohmann::json::array();
     EXPECT_NE(std::string::npos, error_of(j).find(p.back())) << path;
   }
 }
 
 TEST(settings, addresses_must_be_numbers) {
-  auto j = good();
+  auto j = valid_settings();
   j["external"]["cloud"] = "cloud.example:80";
   EXPECT_NE("", error_of(j));
 }
 
 TEST(settings, a_cancellation_bound_too_short_for_the_leases_is_refused) {
-  auto j = good();
+  auto j = valid_settings();
   j["facts"]["workers"]["cancel_s"] = 20;
   EXPECT_THROW(check(parse_settings(j.dump()), Policy{}), SettingsError);
 }
@@ -79,11 +79,11 @@
   }
   EXPECT_EQ(seconds(75), p.idle_release);
   EXPECT_DOUBLE_EQ(1.5, p.deadline_k);
-  const File wrong{"fleet.idel.seconds = 75\n"};
-  EXPECT_THROW(apply_properties(wrong.path, p), SettingsError);
+  const File misspelled{"fleet.idel.seconds = 75\n"};
+  EXPECT_THROW(apply_properties(misspelled.path, p), SettingsError);
 }
 
-// A heuristic is added in one place: its properties, `--help` and README must follow from there.
+// A heuristic is added in one place; its properties, `--help` and README must follow from there.
 TEST(properties, of_every_heuristic_are_taken_and_documented) {
   std::ifstream file{std::string{MARTENWALL_TEST_DATA} + "/../../README.md"};
   std::stringstream readme;
@@ -103,18 +103,18 @@
   }
 }
 
-// The limits of later may name other fields than those of today's pages, any of them, or none.
-TEST(settings, limits_to_come_are_checked_where_they_stand) {
-  auto v = good();
+// The announced limits may have other fields than those documented at present, any subset of them, or none.
+TEST(settings, upcoming_limits_are_validated) {
+  auto v = valid_settings();
   EXPECT_FALSE(parse_settings(v.dump()).upcoming_state_limits);
   v["facts"]["state"]["next"] = {{"value_kb", 2}, {"colour", "blue"}, {"txn_ops", nullptr}};
   const auto s = parse_settings(v.dump());
   ASSERT_TRUE(s.upcoming_state_limits);
   EXPECT_EQ(2048U, s.upcoming_state_limits->value_bytes);
   EXPECT_FALSE(s.upcoming_state_limits->txn_ops);
-  for (const auto& absurd : {R"({"value_kb":0})", R"({"txn_ops":1})", R"({"write_rps":"x"})", "[]", "7"}) {
-    v["facts"]["state"]["next"] = nlohmann::json::parse(absurd);
-    EXPECT_THROW(parse_settings(v.dump()), SettingsError) << absurd;
+  for (const auto& invalid : {R"({"value_kb":0})", R"({"txn_ops":1})", R"({"write_rps":"x"})", "[]", "7"}) {
+    v["facts"]["state"]["next"] = nlohmann::json::parse(invalid);
+    EXPECT_THROW(parse_settings(v.dump()), SettingsError) << invalid;
   }
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -12,31 +12,31 @@
 namespace martenwall {
 namespace {
 
-RC_GTEST_PROP(done_set, is_the_set_it_stands_for, (const std::vector<std::uint8_t>& indices)) {
+RC_GTEST_PROP(done_set, behaves_like_a_set_of_indices, (const std::vector<std::uint8_t>& indices)) {
   DoneSet set;
   std::set<std::uint32_t> model;
   for (const auto i : indices) RC_ASSERT(set.insert(i) == model.insert(i).second);
   for (std::uint32_t i = 0; i < 256; ++i) RC_ASSERT(set.contains(i) == model.contains(i));
   RC_ASSERT(set.count() == model.size());
-  // Stored in parts, it is the same set again.
-  DoneSet back;
+  // Restored from the ranges of its parts, the set is equal.
+  DoneSet restored;
   for (std::uint32_t first = 0; first < 256; first += 40) {
-    for (const auto& range : set.ranges_in(first, first + 39)) back.insert_range(range);
+    for (const auto& range : set.ranges_in(first, first + 39)) restored.insert_range(range);
   }
-  RC_ASSERT(back == set);
+  RC_ASSERT(restored == set);
 }
 
-// Whatever is taken, given back and finished, each unfinished task is pending or placed, never both.
+// Each unfinished task is either pending or placed, for any order of assignments, returns and completions.
 RC_GTEST_PROP(job, its_tasks_are_pending_placed_or_done,
               (const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps)) {
   Job job;
   job.spec.tasks = 12;
-  for (const auto& [what, which] : steps) {
-    const std::uint32_t index = which % 12;
-    if (what % 3 == 0) {
+  for (const auto& [action, task] : steps) {
+    const std::uint32_t index = task % 12;
+    if (action % 3 == 0) {
       if (const auto next = job.next_pending()) job.assign(*next, MachineId{"m"});
     } else if (job.placed.contains(index)) {
-      if (what % 3 == 1) {
+      if (action % 3 == 1) {
         job.return_to_pending(index);
       } else {
         job.done.insert(index);
@@ -104,7 +104,7 @@
       problem.jobs.push_back({j, 4, false, 100});
     }
     early.spec.deadline_s = 1000;
-    late.spec.deadline_s = 210;  // Extime is 200: nearly late
+    late.spec.deadline_s = 210;  // Extime is 200: close to the deadline
     for (auto* j : {&early, &late}) j->reset_urgency();
     problem.add({&one, &type, type.capacity, 10, Priority::best_effort});
     problem.add({&two, &type, type.capacity, 10, Priority::best_effort});
@@ -130,8 +130,9 @@
   EXPECT_GT(m.at(0, 1), m.at(0, 0));
 }
 
-// On the days of a small site, which of a few machines spoke first by milliseconds decided where the first jobs went,
-// and with it the whole day (docs/results.md): the first in order must be taken whichever spoke first.
+// On the generated days of a small site, millisecond differences in the first heartbeats of a few machines decided
+// where the first jobs were placed, and with that the whole day (docs/results.md). The first machine in order must be
+// chosen whichever reported first.
 TEST(heuristics, milliseconds_of_idleness_choose_no_machine) {
   for (const double first : {0.0, 0.1}) {
     TwoJobsAndMachines t;
@@ -146,37 +147,37 @@
   t.one.idle_since = Time{seconds(950)};
   t.two.idle_since = Time{seconds(990)};
   const ScoreMatrix m = build_scores(t.problem);
-  EXPECT_LT(m.at(0, 0), m.at(0, 1));  // the one that idled longer is left to go back
+  EXPECT_LT(m.at(0, 0), m.at(0, 1));  // the machine that idled longer is left idle for scale-in
 }
 
-// Users refused in one outage all came back within one second of its end, and most were refused again.
+// Users rejected during one outage all retried within one second of its end, and most were rejected again.
 RC_GTEST_PROP(retry_after, no_second_is_assigned_more_retries_than_it_can_serve,
               (const std::vector<std::uint8_t>& gaps)) {
   const int rate = *rc::gen::inRange(1, 50);
-  const int most = *rc::gen::inRange(1, 30);
-  RetryAfterPacer times{static_cast<double>(rate), most};
+  const int max_retry_s = *rc::gen::inRange(1, 30);
+  RetryAfterPacer pacer{static_cast<double>(rate), max_retry_s};
   Time now{seconds(5)};
-  std::map<long, int> told;
+  std::map<long, int> users_by_second;
   bool full = false;
   for (const auto gap : gaps) {
     now += seconds(gap < 200 ? 0.0 : (gap - 200) * 0.02);
-    full = full || times.waiting() >= static_cast<double>(rate) * most;
-    const int s = times.next(now);
-    RC_ASSERT(s >= 1 && s <= most);
-    ++told[static_cast<long>(to_seconds(now - Time{})) + s];
+    full = full || pacer.waiting() >= static_cast<double>(rate) * max_retry_s;
+    const int s = pacer.next(now);
+    RC_ASSERT(s >= 1 && s <= max_retry_s);
+    ++users_by_second[static_cast<long>(to_seconds(now - Time{})) + s];
   }
-  // Two of a user's seconds may lie in one of these.
-  for (const auto& [second, users] : told) RC_ASSERT(full || users <= 2 * rate + 2);
+  // Two retry seconds, counted from the user's request, may overlap one second of this clock.
+  for (const auto& [second, users] : users_by_second) RC_ASSERT(full || users <= 2 * rate + 2);
 }
 
 TEST(retry_after, a_single_refused_request_retries_at_once_and_a_burst_is_spread_out) {
-  RetryAfterPacer times{10, 8};
-  EXPECT_EQ(1, times.next(Time{seconds(1)}));
-  EXPECT_EQ(1, times.next(Time{seconds(5)}));
-  std::map<int, int> told;
-  for (int i = 0; i < 160; ++i) ++told[times.next(Time{seconds(20)})];
-  for (int s = 1; s <= 8; ++s) EXPECT_EQ(20, told[s]) << s;
-  EXPECT_EQ(1, times.next(Time{seconds(60)}));
+  RetryAfterPacer pacer{10, 8};
+  EXPECT_EQ(1, pacer.next(Time{seconds(1)}));
+  EXPECT_EQ(1, pacer.next(Time{seconds(5)}));
+  std::map<int, int> users_by_second;
+  for (int i = 0; i < 160; ++i) ++users_by_second[pacer.next(Time{seconds(20)})];
+  for (int s = 1; s <= 8; ++s) EXPECT_EQ(20, users_by_second[s]) << s;
+  EXPECT_EQ(1, pacer.next(Time{seconds(60)}));
 }
 
 TEST(heuristics, a_reserved_machine_fits_only_its_job) {
@@ -190,31 +191,32 @@
 
 RowKey row_of(int i) { return {RowKind::tasks, "job-" + std::to_string(i), 0}; }
 
-// On the visitors day 20 guests a second asked for more changes than the store takes: everyone's starts waited
-// up to 36 s behind them.
+// On the visitors day, 20 guests a second requested more changes than the store accepts, and the starts of all users
+// waited up to 36 s behind them.
 RC_GTEST_PROP(write_queue, a_flood_of_best_effort_rows_leaves_others_their_share, ()) {
-  const auto guests = *rc::gen::inRange(1, 300);
-  const auto others = *rc::gen::inRange(1, 300);
-  const auto most = *rc::gen::inRange<std::size_t>(1, 40);
+  const auto best_effort_rows = *rc::gen::inRange(1, 300);
+  const auto foreground_rows = *rc::gen::inRange(1, 300);
+  const auto max_rows = *rc::gen::inRange<std::size_t>(1, 40);
   WriteQueue q;
   const Time now{seconds(100)};
-  for (int i = 0; i < guests; ++i) q.add(row_of(i), now - seconds(50), WritePriority::best_effort);
-  for (int i = 0; i < others; ++i) q.add(row_of(1000 + i), now, WritePriority::foreground);
-  const auto taken = q.pop_due(most, true, now);
+  for (int i = 0; i < best_effort_rows; ++i) q.add(row_of(i), now - seconds(50), WritePriority::best_effort);
+  for (int i = 0; i < foreground_rows; ++i) q.add(row_of(1000 + i), now, WritePriority::foreground);
+  const auto taken = q.pop_due(max_rows, true, now);
   const auto n = static_cast<std::size_t>(
       std::ranges::count_if(taken, [](const RowKey& k) { return k.id.size() == row_of(1000).id.size(); }));
-  const auto all = static_cast<std::size_t>(guests + others);
-  RC_ASSERT(taken.size() == std::min(most, all));
-  RC_ASSERT(n >= std::min<std::size_t>(static_cast<std::size_t>(others), most - std::max<std::size_t>(1, most / 4)));
-  RC_ASSERT(taken.size() - n >= 1U);  // the guests are not stopped for good either
+  const auto all = static_cast<std::size_t>(best_effort_rows + foreground_rows);
+  RC_ASSERT(taken.size() == std::min(max_rows, all));
+  RC_ASSERT(n >= std::min<std::size_t>(static_cast<std::size_t>(foreground_rows),
+                                       max_rows - std::max<std::size_t>(1, max_rows / 4)));
+  RC_ASSERT(taken.size() - n >= 1U);  // best-effort rows are not starved either
 }
 
-// Against a model: each row comes out once for each time that it was queued while no one wrote it, never before it is
-// due, and not while it is under way.
+// Compares the queue with a model: each row is popped once for each time that it was queued while not being written,
+// never before it is due, and not while a write of it is in progress.
 RC_GTEST_PROP(write_queue, gives_each_row_once, (const std::vector<std::uint16_t>& steps)) {
   WriteQueue q;
-  std::map<RowKey, Time> wanted;
-  std::set<RowKey> under_way;
+  std::map<RowKey, Time> queued;
+  std::set<RowKey> in_progress;
   Time now{seconds(100)};
   for (const auto step : steps) {
     const auto key = row_of(step % 7);
@@ -222,19 +224,19 @@
     if (step % 3 == 0) {
       const Time due = now + seconds(step % 5);
       q.add(key, due, static_cast<WritePriority>(step % 2));
-      const auto [it, fresh] = wanted.emplace(key, due);
-      if (!fresh) it->second = std::min(it->second, due);
+      const auto [it, inserted] = queued.emplace(key, due);
+      if (!inserted) it->second = std::min(it->second, due);
     } else if (step % 3 == 1) {
       for (const auto& k : q.pop_due(3, true, now)) {
-        RC_ASSERT(wanted.contains(k) && wanted.at(k) <= now);
-        RC_ASSERT(under_way.insert(k).second);
-        wanted.erase(k);
+        RC_ASSERT(queued.contains(k) && queued.at(k) <= now);
+        RC_ASSERT(in_progress.insert(k).second);
+        queued.erase(k);
       }
     } else {
       q.finish_write(key);
-      under_way.erase(key);
+      in_progress.erase(key);
     }
-    RC_ASSERT(q.contains(key) == (wanted.contains(key) || under_way.contains(key)));
+    RC_ASSERT(q.contains(key) == (queued.contains(key) || in_progress.contains(key)));
   }
 }
 
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -1,4 +1,5 @@
-// Jobs that await others: too early, forgotten, or left behind by a cancellation must not happen.
+// Jobs with dependencies: none may start too early, be forgotten, or remain after a cancellation of a job that it
+// depends on.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -12,7 +13,7 @@
   Time now{seconds(1000)};
   std::vector<std::string> lines;
   Scheduler scheduler;
-  std::map<JobId, JobPhase> ends;  // in the store
+  std::map<JobId, JobPhase> stored_ends;  // final phases in the store
 
   DependencyFixture() : scheduler(options(), [this](const std::string& line) { lines.push_back(line); }) {
     scheduler.set_types({{"g", {8, 4, 64}, 50, 1, 10, 3, 40, {"a"}}});
@@ -24,7 +25,7 @@
     out.token = FencingToken{50};
     return out;
   }
-  Job job(int n, const std::vector<int>& dependencies, double gpus = 1) const {
+  Job make_job(int n, const std::vector<int>& dependencies, double gpus = 1) const {
     Job j;
     j.spec.id = id(n);
     j.spec.team = "red";
@@ -38,30 +39,30 @@
   }
   static JobId id(int n) { return JobId{"job-" + std::to_string(n)}; }
   void add(int n, const std::vector<int>& dependencies, double gpus = 1) {
-    scheduler.add_job(job(n, dependencies, gpus), now);
+    scheduler.add_job(make_job(n, dependencies, gpus), now);
   }
   JobPhase phase(int n) const {
     const auto* j = scheduler.find_job(id(n));
-    return j == nullptr ? ends.at(id(n)) : j->phase;
+    return j == nullptr ? stored_ends.at(id(n)) : j->phase;
   }
-  std::vector<RowWrite> take() { return scheduler.take_writes(100, true, now + seconds(10)); }
+  std::vector<RowWrite> take_writes() { return scheduler.take_writes(100, true, now + seconds(10)); }
   void store(const std::vector<RowWrite>& rows) {
     for (const auto& w : rows) {
-      if (w.final_job) ends[w.final_job->id] = w.final_job->phase;
+      if (w.final_job) stored_ends[w.final_job->id] = w.final_job->phase;
     }
     scheduler.on_rows_stored(rows, now);
   }
   void store_all() {
-    for (auto rows = take(); !rows.empty(); rows = take()) store(rows);
+    for (auto rows = take_writes(); !rows.empty(); rows = take_writes()) store(rows);
   }
   void report(std::vector<TaskStatus> tasks) {
-    auto r = report_of("i-1", HeartbeatSequence{++tick_});
+    auto r = report_of("i-1", HeartbeatSequence{++sequence_});
     r.tasks = std::move(tasks);
     scheduler.on_heartbeat(r, StatusSource::heartbeat, now, true);
     scheduler.on_heartbeat_answered(r.machine, now);
   }
   void finish(int n) { report({{TaskId{id(n), 0}, Attempt{1}, TaskState::ended, ExitCause::done, false}}); }
-  // The job's task is placed, started and done; its end is not stored yet.
+  // Places, starts and completes the task of the job; its end is not stored yet.
   void run(int n) {
     report({});
     scheduler.run_cycle(now);
@@ -70,7 +71,7 @@
   }
 
  private:
-  std::uint64_t tick_ = 0;
+  std::uint64_t sequence_ = 0;
 };
 
 TEST(dependencies, a_job_starts_only_after_the_end_of_its_dependencies_is_stored) {
@@ -82,7 +83,7 @@
   fixture.run(1);
   EXPECT_EQ(JobPhase::done, fixture.phase(1));
   fixture.scheduler.run_cycle(fixture.now);
-  EXPECT_EQ(JobPhase::blocked, fixture.phase(2)) << "in memory only: a successor would not know";
+  EXPECT_EQ(JobPhase::blocked, fixture.phase(2)) << "the end is in memory only: a new leader would not know it";
   EXPECT_TRUE(fixture.scheduler.find_job(DependencyFixture::id(2))->placed.empty());
   fixture.store_all();
   EXPECT_EQ(JobPhase::pending, fixture.phase(2));
@@ -90,10 +91,11 @@
   EXPECT_EQ(1U, fixture.scheduler.find_job(DependencyFixture::id(2))->placed.size());
 }
 
-// What is within its team's guarantee may stop what another team borrowed.
+// A job within its team's guarantee may preempt what another team borrowed, so the guarantee must not be used up by
+// blocked jobs.
 TEST(dependencies, a_job_with_open_dependencies_uses_none_of_its_teams_guaranteed_quota) {
   DependencyFixture fixture;
-  Job guest = fixture.job(9, {}, 4);
+  Job guest = fixture.make_job(9, {}, 4);
   guest.spec.team = "wide";
   fixture.scheduler.add_job(guest, fixture.now);
   fixture.report({});
@@ -102,7 +104,7 @@
   fixture.report({});
   fixture.report({{TaskId{DependencyFixture::id(9), 0}, Attempt{1}, TaskState::running, ExitCause::none, false}});
   fixture.add(1, {}, 0);
-  fixture.add(2, {1}, 4);  // with it, nothing after it would fit into the guarantee of 4
+  fixture.add(2, {1}, 4);  // if counted, it would use up the guarantee of 4
   fixture.add(3, {});
   fixture.scheduler.run_cycle(fixture.now);
   EXPECT_EQ(2U, fixture.scheduler.last_cycle_size().jobs);
@@ -118,19 +120,19 @@
   fixture.add(4, {1, 3});
   fixture.add(5, {});
   ASSERT_TRUE(fixture.scheduler.cancel(DependencyFixture::id(1), fixture.now));
-  // Stored before the root's, their ends would stand without a reason if this leader ended now.
-  const auto first = fixture.take();
+  // If their ends were stored before that of the root, they would have no cause in the store if this leader ended here.
+  const auto first = fixture.take_writes();
   ASSERT_EQ(1U, first.size());
   EXPECT_EQ(DependencyFixture::id(1), first[0].final_job->id);
   EXPECT_EQ(JobPhase::blocked, fixture.phase(2));
   fixture.store(first);
   EXPECT_FALSE(fixture.scheduler.is_cascade_stored(DependencyFixture::id(1)));
   EXPECT_FALSE(fixture.scheduler.status(DependencyFixture::id(3)))
-      << "its end is not stored yet, but it must not be called active either";
+      << "its end is not stored yet, and it must not be reported as active";
   fixture.store_all();
   EXPECT_TRUE(fixture.scheduler.is_cascade_stored(DependencyFixture::id(1)));
-  for (const int n : {1, 2, 3, 4}) EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(n)));
-  EXPECT_FALSE(fixture.ends.contains(DependencyFixture::id(5)));
+  for (const int n : {1, 2, 3, 4}) EXPECT_EQ(JobPhase::cancelled, fixture.stored_ends.at(DependencyFixture::id(n)));
+  EXPECT_FALSE(fixture.stored_ends.contains(DependencyFixture::id(5)));
 }
 
 TEST(dependencies, a_cancellation_that_lost_to_completion_cancels_no_dependents) {
@@ -140,7 +142,7 @@
   fixture.run(1);
   fixture.scheduler.cancel(DependencyFixture::id(1), fixture.now);
   fixture.store_all();
-  EXPECT_EQ(JobPhase::done, fixture.ends.at(DependencyFixture::id(1)));
+  EXPECT_EQ(JobPhase::done, fixture.stored_ends.at(DependencyFixture::id(1)));
   EXPECT_EQ(JobPhase::pending, fixture.phase(2));
 }
 
@@ -165,19 +167,19 @@
   (void)fixture.scheduler.take_lookups();
   fixture.scheduler.on_dependency_end_found(DependencyFixture::id(1), JobPhase::cancelled, fixture.now);
   fixture.store_all();
-  EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(2)));
-  EXPECT_EQ(JobPhase::cancelled, fixture.ends.at(DependencyFixture::id(3)));
+  EXPECT_EQ(JobPhase::cancelled, fixture.stored_ends.at(DependencyFixture::id(2)));
+  EXPECT_EQ(JobPhase::cancelled, fixture.stored_ends.at(DependencyFixture::id(3)));
 }
 
-// Only the last job of a pipeline has the deadline and the rank that its user cares about.
+// Only the last job of a pipeline has the deadline and the priority that matter to its user.
 TEST(dependencies, a_job_is_as_urgent_as_its_most_urgent_dependent) {
   DependencyFixture fixture;
   fixture.add(1, {});
-  Job last = fixture.job(3, {2});
+  Job last = fixture.make_job(3, {2});
   last.spec.priority = Priority::high;
   last.spec.deadline_s = 100;
   last.spec.estimate_s = 10;
-  Job middle = fixture.job(2, {1});
+  Job middle = fixture.make_job(2, {1});
   middle.spec.estimate_s = 20;
   fixture.scheduler.add_job(middle, fixture.now);
   fixture.scheduler.add_job(last, fixture.now);
@@ -191,29 +193,30 @@
   EXPECT_FALSE(first.effective_deadline.has_value());
 }
 
-// A graph of jobs, some cancelled; the leader ends after any number of writes. Its successor, from what is stored,
-// comes to the same: a job is cancelled if and only if it needs one that a user cancelled.
+// Cancels some jobs of a dependency graph; the leader ends after any number of writes. Its successor, which knows only
+// what is stored, must reach the same result: a job is cancelled if and only if it depends on one that a user
+// cancelled.
 RC_GTEST_PROP(dependencies, a_new_leader_finishes_cancelling_dependents,
               (const std::vector<std::vector<std::uint8_t>>& graph)) {
   DependencyFixture fixture;
   std::vector<std::vector<int>> dependencies;
-  for (const auto& names : graph) {
+  for (const auto& references : graph) {
     const int n = static_cast<int>(dependencies.size());
     dependencies.emplace_back();
-    for (const auto name : names) {
-      if (n > 0) dependencies.back().push_back(name % n);
+    for (const auto reference : references) {
+      if (n > 0) dependencies.back().push_back(reference % n);
     }
     std::ranges::sort(dependencies.back());
-    const auto rest = std::ranges::unique(dependencies.back());
-    dependencies.back().erase(rest.begin(), rest.end());
+    const auto duplicates = std::ranges::unique(dependencies.back());
+    dependencies.back().erase(duplicates.begin(), duplicates.end());
     fixture.add(n, dependencies.back());
   }
   const int count = static_cast<int>(dependencies.size());
   RC_PRE(count > 0);
-  std::set<int> gone;
+  std::set<int> cancelled;
   for (const int n : *rc::gen::container<std::vector<int>>(2, rc::gen::inRange(0, count))) {
     if (!fixture.scheduler.cancel(DependencyFixture::id(n), fixture.now)) continue;
-    gone.insert(n);
+    cancelled.insert(n);
   }
   const auto writes = *rc::gen::inRange(0, 6);
   for (int i = 0; i < writes; ++i) {
@@ -222,27 +225,27 @@
   }
   std::set<int> expected;
   for (int n = 0; n < count; ++n) {
-    const bool told = gone.contains(n) && fixture.ends.contains(DependencyFixture::id(n));
-    const bool needs =
+    const bool is_stored = cancelled.contains(n) && fixture.stored_ends.contains(DependencyFixture::id(n));
+    const bool depends_on_cancelled =
         std::ranges::any_of(dependencies[static_cast<std::size_t>(n)], [&](int a) { return expected.contains(a); });
-    if (told || needs) expected.insert(n);
+    if (is_stored || depends_on_cancelled) expected.insert(n);
   }
   DependencyFixture next;
-  next.ends = fixture.ends;
+  next.stored_ends = fixture.stored_ends;
   for (int n = 0; n < count; ++n) {
-    if (!fixture.ends.contains(DependencyFixture::id(n)))
-      next.scheduler.load_job(next.job(n, dependencies[static_cast<std::size_t>(n)]), next.now);
+    if (!fixture.stored_ends.contains(DependencyFixture::id(n)))
+      next.scheduler.load_job(next.make_job(n, dependencies[static_cast<std::size_t>(n)]), next.now);
   }
   next.scheduler.finish_load(next.now);
   for (int i = 0; i < 3; ++i) {
     for (const auto& id : next.scheduler.take_lookups())
-      next.scheduler.on_dependency_end_found(id, next.ends.at(id), next.now);
+      next.scheduler.on_dependency_end_found(id, next.stored_ends.at(id), next.now);
     next.store_all();
   }
   for (int n = 0; n < count; ++n) {
-    const auto end = next.ends.find(DependencyFixture::id(n));
-    RC_ASSERT((end != next.ends.end()) == expected.contains(n));
-    if (end != next.ends.end()) RC_ASSERT(end->second == JobPhase::cancelled);
+    const auto end = next.stored_ends.find(DependencyFixture::id(n));
+    RC_ASSERT((end != next.stored_ends.end()) == expected.contains(n));
+    if (end != next.stored_ends.end()) RC_ASSERT(end->second == JobPhase::cancelled);
   }
 }
 
--- a/tests/downlink_health_test.cpp
+++ b/tests/downlink_health_test.cpp
@@ -1,4 +1,4 @@
-// Machines that are heard and do not hear.
+// Machines whose heartbeats arrive but which receive no responses.
 #include "core/reachability/downlink_health.hpp"
 
 #include <gtest/gtest.h>
@@ -14,28 +14,29 @@
 
 constexpr Duration lease = seconds(15);
 
-// A worker as PROTOCOL describes it, with answers that reach it or not: a plain reference that knows the truth.
+// Compares the downlink state with a simple model of a worker as PROTOCOL describes it, which knows whether each
+// response arrived.
 RC_GTEST_PROP(downlink_health, a_machine_is_reachable_within_a_lease_of_its_downlinks_return_and_never_before, ()) {
   DownlinkHealth downlink;
   Time now{seconds(100)};
   Time last_answer = now;
   std::uint64_t incarnation = 1;
-  const bool unreachable_at_last = *rc::gen::arbitrary<bool>();
-  const auto reports = *rc::gen::container<std::vector<bool>>(60, rc::gen::arbitrary<bool>());
-  for (std::size_t i = 0; i < reports.size(); ++i) {
+  const bool finally_unreachable = *rc::gen::arbitrary<bool>();
+  const auto responses_arrive = *rc::gen::container<std::vector<bool>>(60, rc::gen::arbitrary<bool>());
+  for (std::size_t i = 0; i < responses_arrive.size(); ++i) {
     now += seconds(2);
     const bool settled = i >= 30;
-    const bool reaches = settled ? !unreachable_at_last : reports[i];
-    const bool lapsed = now - last_answer > seconds(14);
-    if (lapsed) {
+    const bool response_arrives = settled ? !finally_unreachable : responses_arrive[i];
+    const bool lease_lapsed = now - last_answer > seconds(14);
+    if (lease_lapsed) {
       ++incarnation;
       last_answer = now;
     }
     downlink.on_heartbeat(Incarnation{incarnation}, lease, now);
-    if (lapsed) downlink.on_delivery_missed(now);
-    if (reaches) last_answer = now;
+    if (lease_lapsed) downlink.on_delivery_missed(now);
+    if (response_arrives) last_answer = now;
   }
-  RC_ASSERT(downlink.is_reachable() != unreachable_at_last);
+  RC_ASSERT(downlink.is_reachable() != finally_unreachable);
 }
 
 TEST(downlink_health, one_lost_response_does_not_make_a_machine_unreachable) {
@@ -48,7 +49,7 @@
   downlink.on_delivery_confirmed(Time{seconds(6)});
   EXPECT_TRUE(downlink.is_reachable());
   for (int i = 0; i < 2; ++i) downlink.on_delivery_missed(Time{seconds(8 + 2 * i)});
-  EXPECT_FALSE(downlink.is_unreachable()) << "those before it was heard count no more";
+  EXPECT_FALSE(downlink.is_unreachable()) << "misses before a confirmed delivery do not count";
   downlink.on_delivery_missed(Time{seconds(12)});
   EXPECT_TRUE(downlink.is_unreachable());
 }
@@ -62,7 +63,8 @@
   EXPECT_TRUE(downlink.claim_probe(Time{seconds(7)}));
 }
 
-// One scheduler, two machines of which the first may be deaf; answers carry orders, commands get none.
+// One scheduler and two machines, of which the first may be unreachable. Commands are sent in heartbeat responses only;
+// direct starts are off.
 class DownlinkFixture {
  public:
   explicit DownlinkFixture(bool unconfirmed) : scheduler_(options(), [](const std::string&) {}) {
@@ -90,7 +92,7 @@
     scheduler_.load_tasks(row, now_);
     scheduler_.finish_load(now_);
   }
-  // Reports every two seconds; a machine that hears nothing begins a session each 14 s.
+  // Sends heartbeats every two seconds. A machine that receives no response begins a new session after each 14 s.
   void run(int reports, bool first_downlink_works) {
     for (int i = 0; i < reports; ++i) {
       now_ += seconds(2);
@@ -99,13 +101,13 @@
       run_cycle();
     }
   }
-  // The first machine alone reports at this second and is not answered; then a round.
-  void report_unanswered(double at_s, Incarnation incarnation, bool runs_what_is_placed) {
+  // Sends one heartbeat of the first machine at this second, leaves it unanswered, and runs a cycle.
+  void report_unanswered(double at_s, Incarnation incarnation, bool runs_placed_tasks) {
     now_ = Time{seconds(1000 + at_s)};
     auto r = report_of("i-1", HeartbeatSequence{++machines_["i-1"].sequence}, incarnation, FencingToken{50});
     const auto known = scheduler_.machines().find(r.machine);
     for (const auto& p : known->second.placements) {
-      if (runs_what_is_placed) r.tasks.push_back({p.task, p.attempt, TaskState::running, ExitCause::none, false});
+      if (runs_placed_tasks) r.tasks.push_back({p.task, p.attempt, TaskState::running, ExitCause::none, false});
     }
     scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
     run_cycle();
@@ -162,11 +164,12 @@
     if (!downlink_works) return;
     m.token = 50;
     m.answered = now_;
-    for (const auto& o : commands) {
-      if (o.verb == Command::Verb::start) {
-        m.tasks.push_back({o.task, o.attempt, TaskState::running, ExitCause::none, false});
+    for (const auto& command : commands) {
+      if (command.verb == Command::Verb::start) {
+        m.tasks.push_back({command.task, command.attempt, TaskState::running, ExitCause::none, false});
       } else {
-        std::erase_if(m.tasks, [&](const TaskStatus& t) { return t.task == o.task && t.attempt == o.attempt; });
+        std::erase_if(m.tasks,
+                      [&](const TaskStatus& t) { return t.task == command.task && t.attempt == command.attempt; });
       }
     }
   }
@@ -176,14 +179,14 @@
   std::map<std::string, Machine> machines_;
 };
 
-// What is placed on a machine that hears nothing never starts, and its reports were answered for ever.
+// Tasks placed on a machine that receives no responses never started, and its heartbeats were answered endlessly.
 TEST(downlink_health, tasks_that_an_unreachable_machine_did_not_start_are_placed_elsewhere) {
   DownlinkFixture fixture{false};
   fixture.run(2, false);
   fixture.run(10, false);
   EXPECT_EQ(DownlinkState::unreachable, fixture.downlink());
   EXPECT_EQ(0U, fixture.placed_on("i-1"));
-  EXPECT_EQ(1U, fixture.placed_on("i-2")) << "the other one has room for one";
+  EXPECT_EQ(1U, fixture.placed_on("i-2")) << "the other machine has capacity for one task";
 }
 
 TEST(downlink_health, a_machine_that_is_reachable_again_is_used_again) {
@@ -195,18 +198,19 @@
   EXPECT_EQ(1U, fixture.placed_on("i-1"));
 }
 
-// Of an earlier leader's task only the token proves that no late start of it comes, and a deaf machine shows none:
-// unanswered, its lease ends.
+// For a task of an earlier leader, only the new token proves that no late start of it can arrive, and an unreachable
+// machine never shows that token. Its heartbeats are left unanswered, so that its lease ends.
 TEST(downlink_health, an_earlier_leaders_task_on_an_unreachable_machine_is_not_waited_for_for_ever) {
   DownlinkFixture fixture{true};
   fixture.run(3, false);
-  EXPECT_EQ(1U, fixture.placed_on("i-1")) << "it may be there";
+  EXPECT_EQ(1U, fixture.placed_on("i-1")) << "the task may run there";
   fixture.run(17, false);
   EXPECT_EQ(0U, fixture.placed_on("i-1"));
 }
 
-// The simulation, of a machine that had been deaf: left unanswered, its session ended, and the next one had just begun
-// when the lease since the last answer was over. What was placed in it was given up and started elsewhere: ran_twice.
+// Found by the simulation (`ran_twice`): the session of a machine that had been unreachable ended because it was left
+// unanswered, and the next one had just begun when the lease since the last response expired. Tasks placed in the new
+// session were given up and started elsewhere.
 TEST(downlink_health, a_new_incarnation_lasts_for_a_lease_of_its_own) {
   DownlinkFixture fixture{true};
   fixture.report_unanswered(12, Incarnation{2}, false);
@@ -214,7 +218,7 @@
   fixture.report_unanswered(14, Incarnation{2}, true);
   ASSERT_EQ(1U, fixture.placed_on("i-1"));
   fixture.run_cycle_at(16.5);
-  EXPECT_EQ(1U, fixture.placed_on("i-1")) << "it was answered last 16 s ago, and began 5 s ago at the most";
+  EXPECT_EQ(1U, fixture.placed_on("i-1")) << "the last response was 16 s ago, and the session began at most 5 s ago";
   fixture.run_cycle_at(26);
   EXPECT_EQ(1U, fixture.placed_on("i-1"));
   fixture.run_cycle_at(27.5);
@@ -224,7 +228,7 @@
 TEST(downlink_health, no_machine_is_returned_while_half_of_the_fleet_is_unreachable) {
   DownlinkFixture fixture{false};
   fixture.run(60, false);
-  EXPECT_EQ(MachinePhase::up, fixture.phase()) << "half of the fleet is deaf: the fault is elsewhere";
+  EXPECT_EQ(MachinePhase::up, fixture.phase()) << "with half of the fleet unreachable, the fault is not the machine's";
 }
 
 }  // namespace
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -1,4 +1,4 @@
-// Jobs submitted with a mistake and machines that fail everything, told apart.
+// Distinguishes jobs whose tasks always fail from machines on which every task fails.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -15,7 +15,7 @@
   std::set<MachineId> faulty_machines;
   std::set<JobId> failing_jobs;
   std::map<MachineId, std::vector<TaskStatus>> tasks;
-  std::map<JobId, std::size_t> tries;
+  std::map<JobId, std::size_t> attempts;
 
   static Scheduler::Options options() {
     Scheduler::Options out;
@@ -28,7 +28,7 @@
     scheduler.set_types({{"g", {8, 4, 64}, 50, 1, 10, 3, 40, {"a", "b"}}});
     for (int i = 0; i < machines; ++i) tasks[MachineId{"i-" + std::to_string(i)}];
   }
-  void job(const char* id, JobKind kind, std::uint32_t n, Priority priority = Priority::normal) {
+  void submit_job(const char* id, JobKind kind, std::uint32_t n, Priority priority = Priority::normal) {
     Job j;
     j.spec.id = JobId{id};
     j.spec.team = "red";
@@ -40,27 +40,27 @@
     j.submitted = now;
     scheduler.add_job(j, now);
   }
-  void run(const MachineId& id, const Command& o) {
+  void execute(const MachineId& id, const Command& command) {
     auto& list = tasks[id];
-    std::erase_if(list, [&](const auto& t) { return t.task == o.task && t.attempt == o.attempt; });
-    if (o.verb == Command::Verb::forget) return;
-    TaskStatus t{o.task, o.attempt, TaskState::ended, ExitCause::done};
-    if (o.verb == Command::Verb::stop) t.cause = ExitCause::stopped;
-    if (o.verb == Command::Verb::start) {
-      ++tries[o.task.job];
-      if (faulty_machines.contains(id) || failing_jobs.contains(o.task.job)) t.cause = ExitCause::error;
+    std::erase_if(list, [&](const auto& t) { return t.task == command.task && t.attempt == command.attempt; });
+    if (command.verb == Command::Verb::forget) return;
+    TaskStatus t{command.task, command.attempt, TaskState::ended, ExitCause::done};
+    if (command.verb == Command::Verb::stop) t.cause = ExitCause::stopped;
+    if (command.verb == Command::Verb::start) {
+      ++attempts[command.task.job];
+      if (faulty_machines.contains(id) || failing_jobs.contains(command.task.job)) t.cause = ExitCause::error;
     }
     list.push_back(t);
   }
-  // Each machine reports, rounds pass, everything is stored; a task ends as soon as it is started.
-  void play(double long_s) {
-    for (const Time until = now + seconds(long_s); now < until; now += seconds(1)) {
+  // Runs heartbeats of all machines, cycles and writes. A task ends as soon as it is started.
+  void run_for(double duration_s) {
+    for (const Time until = now + seconds(duration_s); now < until; now += seconds(1)) {
       for (auto& [id, list] : tasks) {
         auto r = report_of(id.value(), HeartbeatSequence{++sequence});
         r.tasks = list;
         const auto commands = scheduler.on_heartbeat(r, StatusSource::heartbeat, now, true);
         scheduler.on_heartbeat_answered(id, now);
-        for (const auto& o : commands) run(id, o);
+        for (const auto& command : commands) execute(id, command);
       }
       scheduler.run_cycle(now);
       (void)scheduler.take_scale_out_requests();
@@ -70,63 +70,63 @@
       }
     }
   }
-  [[nodiscard]] bool unfinished(const JobId& id) const { return scheduler.find_job(id) != nullptr; }
+  [[nodiscard]] bool is_unfinished(const JobId& id) const { return scheduler.find_job(id) != nullptr; }
   [[nodiscard]] std::size_t quarantined() const {
     return static_cast<std::size_t>(
         std::ranges::count_if(scheduler.machines(), [](const auto& m) { return m.second.quarantined; }));
   }
 };
 
-// On the operations days four jobs in a hundred fail everywhere: they stopped others' work for each try, and
-// machines were condemned on their account.
+// On the operations days, four in a hundred jobs fail everywhere: each retry preempted the tasks of others, and
+// machines were quarantined because of them.
 TEST(failure_attribution, jobs_that_always_fail_quarantine_no_machine_and_are_retried_seldom) {
   FailureFixture fixture{8};
-  fixture.play(2);
+  fixture.run_for(2);
   for (const char* id : {"job-1", "job-2", "job-3", "job-4"}) {
     fixture.failing_jobs.insert(JobId{id});
-    fixture.job(id, id[4] % 2 == 0 ? JobKind::gang : JobKind::array, 4);
+    fixture.submit_job(id, id[4] % 2 == 0 ? JobKind::gang : JobKind::array, 4);
   }
-  fixture.play(120);
+  fixture.run_for(120);
   EXPECT_EQ(0U, fixture.quarantined());
   for (const auto& id : fixture.failing_jobs) {
     const auto* job = fixture.scheduler.find_job(id);
     ASSERT_NE(nullptr, job);
     EXPECT_TRUE(job->suspect) << id.value();
-    EXPECT_LT(fixture.tries[id], 40U) << id.value();
+    EXPECT_LT(fixture.attempts[id], 40U) << id.value();
   }
-  fixture.job("job-9", JobKind::array, 40);
-  fixture.play(30);
-  EXPECT_EQ(nullptr, fixture.scheduler.find_job(JobId{"job-9"})) << "the others' work must go on";
+  fixture.submit_job("job-9", JobKind::array, 40);
+  fixture.run_for(30);
+  EXPECT_EQ(nullptr, fixture.scheduler.find_job(JobId{"job-9"})) << "other jobs must complete";
 }
 
 TEST(failure_attribution, a_machine_that_fails_everything_is_found_and_no_job_is_suspected) {
   FailureFixture fixture{6};
   fixture.faulty_machines.insert(MachineId{"i-0"});
-  fixture.play(2);
-  for (int i = 0; i < 20; ++i) fixture.job(("job-" + std::to_string(i)).c_str(), JobKind::array, 6);
-  fixture.play(90);
+  fixture.run_for(2);
+  for (int i = 0; i < 20; ++i) fixture.submit_job(("job-" + std::to_string(i)).c_str(), JobKind::array, 6);
+  fixture.run_for(90);
   EXPECT_TRUE(fixture.scheduler.jobs().empty());
   const auto m = fixture.scheduler.machines().find(MachineId{"i-0"});
   EXPECT_TRUE(m == fixture.scheduler.machines().end() || m->second.quarantined);
   EXPECT_LE(fixture.quarantined(), 1U);
 }
 
-// Unlucky at first, it must come back at once with its first result.
+// A job whose first tasks failed by chance must be cleared by its first success.
 TEST(failure_attribution, one_success_clears_the_suspicion) {
   FailureFixture fixture{8};
-  fixture.play(2);
+  fixture.run_for(2);
   fixture.failing_jobs.insert(JobId{"job-1"});
-  fixture.job("job-1", JobKind::array, 30);
-  fixture.play(5);
+  fixture.submit_job("job-1", JobKind::array, 30);
+  fixture.run_for(5);
   const auto* job = fixture.scheduler.find_job(JobId{"job-1"});
   ASSERT_NE(nullptr, job);
   ASSERT_TRUE(job->suspect);
   fixture.failing_jobs.clear();
-  fixture.play(40);
-  EXPECT_EQ(nullptr, fixture.scheduler.find_job(JobId{"job-1"})) << "finished";
+  fixture.run_for(40);
+  EXPECT_EQ(nullptr, fixture.scheduler.find_job(JobId{"job-1"})) << "the job is finished";
 }
 
-// A take-over must not start the learning over: the next leader finds it in the job's row.
+// A takeover must not discard what was learned: the next leader reads it from the task row of the job.
 TEST(failure_attribution, a_new_leader_knows_the_suspected_jobs) {
   FailureFixture fixture{8};
   Job j;
@@ -146,23 +146,23 @@
   EXPECT_TRUE(fixture.scheduler.find_job(JobId{"job-1"})->suspect);
 }
 
-// However many jobs and machines are at fault, all that can be done gets done.
+// For any number of faulty machines and failing jobs, every job that can complete completes.
 RC_GTEST_PROP(failure_attribution, every_job_that_can_succeed_completes, ()) {
   FailureFixture fixture{10};
-  fixture.play(2);
+  fixture.run_for(2);
   const auto faulty_machines = *rc::gen::inRange(0, 4);
   for (int i = 0; i < faulty_machines; ++i) fixture.faulty_machines.insert(MachineId{"i-" + std::to_string(i)});
-  const auto kinds = *rc::gen::container<std::vector<bool>>(12, rc::gen::arbitrary<bool>());
-  std::set<JobId> good;
-  for (std::size_t i = 0; i < kinds.size(); ++i) {
+  const auto can_succeed = *rc::gen::container<std::vector<bool>>(12, rc::gen::arbitrary<bool>());
+  std::set<JobId> healthy_jobs;
+  for (std::size_t i = 0; i < can_succeed.size(); ++i) {
     const auto id = "job-" + std::to_string(i);
-    (kinds[i] ? good : fixture.failing_jobs).insert(JobId{id});
-    fixture.job(id.c_str(), i % 3 == 0 ? JobKind::gang : JobKind::array, 3);
-    fixture.play(1);
+    (can_succeed[i] ? healthy_jobs : fixture.failing_jobs).insert(JobId{id});
+    fixture.submit_job(id.c_str(), i % 3 == 0 ? JobKind::gang : JobKind::array, 3);
+    fixture.run_for(1);
   }
-  fixture.play(300);
-  for (const auto& id : good) RC_ASSERT(!fixture.unfinished(id));
-  for (const auto& id : fixture.failing_jobs) RC_ASSERT(fixture.unfinished(id));
+  fixture.run_for(300);
+  for (const auto& id : healthy_jobs) RC_ASSERT(!fixture.is_unfinished(id));
+  for (const auto& id : fixture.failing_jobs) RC_ASSERT(fixture.is_unfinished(id));
 }
 
 }  // namespace
--- a/tests/format_compatibility_test.cpp
+++ b/tests/format_compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Two versions on each other's data. The rows and frames here were recorded: a small program linked to the libraries of
-// the version in production (deploy/service.toml) printed what its encoders make of the values that stand beside them.
+// Compatibility of two versions that read each other's data. The rows and frames here were recorded: a small program
+// linked to the libraries of the version in production (deploy/service.toml) printed what its encoders produce from the
+// values beside them.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -17,14 +18,14 @@
 constexpr const char* final_row = R"({"done":3,"phase":"cancelled","tasks":16})";
 constexpr const char* machines_row =
     R"({"images":[["img-07",6.2]],"machines":[["i-000231","10.1.0.232:9000","g8","a",true,2,[0]]]})";
-constexpr const char* cancel_note = R"({"cancel":true,"node":"stall-1"})";
-constexpr const char* reach_note = R"({"stranded":12})";
+constexpr const char* cancellation_entry = R"({"cancel":true,"node":"stall-1"})";
+constexpr const char* stranded_workers_row = R"({"stranded":12})";
 constexpr const char* leader_row = R"({"node":"stall-1","nonce":"77"})";
 constexpr const char* leadership_record_row = R"({"grace_ms":16000})";
-constexpr std::uint32_t size_of_8_kib = 116;  // what that version reckons for values of 8 KiB
+constexpr std::uint32_t v1_row_size_for_8_kib = 116;  // computed by that version for values of 8 KiB
 
-// What the version in production asks of a row before it takes it, written down once and for all.
-bool old_version_runs(const json& row) { return field(row, "spec") != nullptr; }
+// The conditions that the version in production requires of a row, written down once and not derived from current code.
+bool old_version_accepts_job(const json& row) { return field(row, "spec") != nullptr; }
 bool old_version_reads_tasks(const json& row) {
   if (!count(row, "next") || list(row, "need").size() != 3) return false;
   for (const auto& r : list(row, "done")) {
@@ -40,7 +41,7 @@
   }
   return true;
 }
-bool old_version_takes_verb(std::uint8_t verb) { return verb >= 1 && verb <= 7 && verb != 2; }
+bool old_version_accepts_verb(std::uint8_t verb) { return verb >= 1 && verb <= 7 && verb != 2; }
 
 std::string bytes(const std::string& hex) {
   std::string out;
@@ -55,33 +56,33 @@
   EXPECT_EQ(16U, job->spec.tasks);
   EXPECT_EQ(Time{seconds(95)}, job->submitted);
   EXPECT_FALSE(job->dependent);
-  const auto tasks = decode_v1_tasks("p/job-000412/2", json::parse(task_row), size_of_8_kib);
+  const auto tasks = decode_v1_tasks("p/job-000412/2", json::parse(task_row), v1_row_size_for_8_kib);
   ASSERT_TRUE(tasks);
-  EXPECT_EQ(2U * size_of_8_kib, tasks->first);
-  EXPECT_EQ(size_of_8_kib, tasks->size);
+  EXPECT_EQ(2U * v1_row_size_for_8_kib, tasks->first);
+  EXPECT_EQ(v1_row_size_for_8_kib, tasks->size);
   EXPECT_EQ(9U, tasks->next_attempt);
   ASSERT_EQ(2U, tasks->placed.size());
   EXPECT_EQ(Attempt{8}, tasks->placed[1].attempt);
   EXPECT_EQ(JobPhase::cancelled, decode_final(JobId{"job-000412"}, json::parse(final_row))->phase);
   EXPECT_EQ(Incarnation{2}, decode_machines("m/4", json::parse(machines_row)).at(0).incarnation);
-  EXPECT_TRUE(requests_cancellation(json::parse(cancel_note)));
-  EXPECT_EQ(12U, decode_stranded_workers(json::parse(reach_note)));
+  EXPECT_TRUE(requests_cancellation(json::parse(cancellation_entry)));
+  EXPECT_EQ(12U, decode_stranded_workers(json::parse(stranded_workers_row)));
   EXPECT_EQ("stall-1", decode_leader(json::parse(leader_row)).node);
   EXPECT_EQ(seconds(16), decode_leadership_record(json::parse(leadership_record_row)));
 }
 
-// Below the gate the new version writes what the old one writes, to the byte.
+// Before the format upgrade, the new version writes exactly the bytes of the old one.
 TEST(format_compatibility, rows_before_the_format_upgrade_are_those_of_the_previous_version) {
   auto job = decode_job_row(json::parse(job_row), Time{}, 0);
   ASSERT_TRUE(job);
   EXPECT_EQ(job_row, encode_job_row(*job).dump());
-  auto tasks = decode_v1_tasks("p/job-000412/2", json::parse(task_row), size_of_8_kib);
+  auto tasks = decode_v1_tasks("p/job-000412/2", json::parse(task_row), v1_row_size_for_8_kib);
   ASSERT_TRUE(tasks);
   EXPECT_EQ(task_row, encode_tasks(*tasks).dump());
   EXPECT_EQ("p/job-000412/2", key_of({RowKind::tasks_v1, "job-000412", 2}));
   EXPECT_EQ(final_row, encode_final({JobId{"job-000412"}, JobPhase::cancelled, 16, 3}).dump());
   EXPECT_EQ(machines_row, encode_machines(decode_machines("m/4", json::parse(machines_row))).dump());
-  EXPECT_EQ(cancel_note, encode_inbox_entry("stall-1", true).dump());
+  EXPECT_EQ(cancellation_entry, encode_inbox_entry("stall-1", true).dump());
 }
 
 TEST(format_compatibility, frames_are_those_of_the_previous_version) {
@@ -93,12 +94,12 @@
   const auto read = decode_reply(std::string_view{reply}.substr(4));
   ASSERT_TRUE(read && read->statuses.size() == 2U);
   EXPECT_EQ(3U, read->statuses[0].running);
-  // A job that awaits others must not go by the verb that the old version takes without them.
-  EXPECT_FALSE(old_version_takes_verb(static_cast<std::uint8_t>(PeerVerb::submit_dependent)));
+  // A job with dependencies must not be sent with the verb that the old version accepts without dependencies.
+  EXPECT_FALSE(old_version_accepts_verb(static_cast<std::uint8_t>(PeerVerb::submit_dependent)));
   for (std::size_t n = 0; n < submit.size(); ++n) (void)decode_request(std::string_view{submit}.substr(0, n));
 }
 
-// That version would start such a job early, or read half of it.
+// The previous version would start such a job early, or read half of it.
 RC_GTEST_PROP(format_compatibility, the_previous_version_ignores_what_it_would_misread, ()) {
   Job job;
   job.spec.id = JobId{"job-9"};
@@ -108,55 +109,56 @@
   const auto n = *rc::gen::inRange(1, 40);
   for (int i = 0; i < n; ++i) job.spec.dependencies.push_back(JobId{"job-" + std::to_string(100 + i)});
   const auto row = encode_job_row(job);
-  RC_ASSERT(!old_version_runs(row));
-  const auto back = decode_job_row(json::parse(row.dump()), Time{}, 0);
-  RC_ASSERT(back && back->dependent && back->spec.dependencies == job.spec.dependencies);
-  RC_ASSERT(!old_version_runs(encode_chunk_manifest({"7", 3})));
+  RC_ASSERT(!old_version_accepts_job(row));
+  const auto decoded = decode_job_row(json::parse(row.dump()), Time{}, 0);
+  RC_ASSERT(decoded && decoded->dependent && decoded->spec.dependencies == job.spec.dependencies);
+  RC_ASSERT(!old_version_accepts_job(encode_chunk_manifest({"7", 3})));
   RC_ASSERT(job_key(job.spec.id, true).substr(0, 2) != "j/");
 }
 
-RC_GTEST_PROP(format_compatibility, a_v1_row_is_read_by_the_previous_version, (const std::set<std::uint16_t>& held)) {
+RC_GTEST_PROP(format_compatibility, a_v1_row_is_read_by_the_previous_version,
+              (const std::set<std::uint16_t>& indices)) {
   TaskRow row;
   row.job = JobId{"job-7"};
   row.is_v1 = true;
   row.team = "t";
   row.next_attempt = 3;
-  for (const auto i : held) row.placed.push_back({i, Attempt{1}, MachineId{"i-1"}, "a"});
+  for (const auto i : indices) row.placed.push_back({i, Attempt{1}, MachineId{"i-1"}, "a"});
   const auto text = json::parse(encode_tasks(row).dump());
   RC_ASSERT(old_version_reads_tasks(text));
   RC_ASSERT(decode_v1_tasks("p/job-7/0", text, 100).has_value());
-  RC_ASSERT(!decode_tasks("q/job-7/0", text).has_value());  // its run is not said
+  RC_ASSERT(!decode_tasks("q/job-7/0", text).has_value());  // its range is not stated
 }
 
-// A legal submission of 64 KiB must not become unstorable under a limit of 2 KiB.
-RC_GTEST_PROP(format_compatibility, a_long_row_is_stored_in_chunks, (const std::string& odd)) {
+// A valid submission of 64 KiB must remain storable under a limit of 2 KiB.
+RC_GTEST_PROP(format_compatibility, a_long_row_is_stored_in_chunks, (const std::string& job_class)) {
   Job job;
   job.spec.id = JobId{"job-9"};
-  job.spec.job_class = odd.empty() ? "x" : odd;
+  job.spec.job_class = job_class.empty() ? "x" : job_class;
   job.spec.team = std::string(200, '"');
   job.spec.image = "img";
   job.spec.types = std::vector<std::string>(100, std::string(200, '\\'));
   for (int i = 0; i < 1500; ++i) job.spec.dependencies.push_back(JobId{"job-" + std::to_string(100000 + i)});
   const auto row = encode_job_row(job);
-  const std::size_t most = *rc::gen::inRange<std::size_t>(512, 8000);
-  const auto chunks = encode_chunks(row, most);
-  for (const auto& p : chunks) RC_ASSERT(p.dump().size() <= most);
-  const auto back = join_chunks(chunks);
-  RC_ASSERT(list(back["chained"], "awaits").size() == 1500U);
+  const std::size_t max_chunk_bytes = *rc::gen::inRange<std::size_t>(512, 8000);
+  const auto chunks = encode_chunks(row, max_chunk_bytes);
+  for (const auto& p : chunks) RC_ASSERT(p.dump().size() <= max_chunk_bytes);
+  const auto decoded = join_chunks(chunks);
+  RC_ASSERT(list(decoded["chained"], "awaits").size() == 1500U);
   RC_ASSERT(decode_chunk_manifest(encode_chunk_manifest({"7", chunks.size()}))->count == chunks.size());
   RC_ASSERT(join_chunks({chunks.begin(), chunks.end() - 1}).is_null());
 }
 
 TEST(format_compatibility, the_format_version_row_defines_the_meaning_of_v1_rows) {
-  const auto row = decode_format_version(encode_format_version({current_format_version, size_of_8_kib}));
+  const auto row = decode_format_version(encode_format_version({current_format_version, v1_row_size_for_8_kib}));
   ASSERT_TRUE(row);
-  EXPECT_EQ(size_of_8_kib, row->v1_row_size);
+  EXPECT_EQ(v1_row_size_for_8_kib, row->v1_row_size);
   EXPECT_FALSE(decode_format_version(json::parse(R"({"level":2})")));
   EXPECT_FALSE(decode_format_version(json::parse(R"({"level":2,"legacy_size":0})")));
 }
 
-// Ends are read in runs of neighbours: a page that begins too late would call a job's end absent, one that begins too
-// early might never reach it.
+// Final rows are read in ranges of neighboring keys: a page that begins too late would report a job's end as absent,
+// and one that begins too early might never reach it.
 RC_GTEST_PROP(format_compatibility, a_key_range_begins_just_before_its_first_job,
               (const std::vector<std::uint32_t>& numbers)) {
   const auto id = [](std::uint32_t n) {
@@ -173,17 +175,18 @@
 }
 
 TEST(user_codec, the_list_of_dependencies_is_checked) {
-  const auto with = [](const char* dependencies) {
+  const auto parse_with = [](const char* dependencies) {
     return parse_job(
         std::string{R"({"ref":"job-1","lane":"l","crew":"c","shape":"sweep","rank":"high","shards":1,"cpus":1,
       "accelerators":0,"memGb":1,"bundle":"b","pullGb":1,"oneZone":false,"spread":false,"loaners":true,"guessS":1,
       "markEveryS":0,"markCostS":0,"awaits":)"} +
         dependencies + "}");
   };
-  for (const char* none : {"null", "[]"}) EXPECT_TRUE(with(none)->dependencies.empty());
-  EXPECT_EQ((std::vector{JobId{"job-2"}, JobId{"job-3"}}), with(R"(["job-3","job-2","job-3"])")->dependencies);
-  for (const char* bad : {R"("job-2")", "[1]", R"(["x"])", R"([null])", "{}", "7", R"(["job-"])", R"([["job-2"]])"}) {
-    EXPECT_FALSE(with(bad).has_value()) << bad;
+  for (const char* empty : {"null", "[]"}) EXPECT_TRUE(parse_with(empty)->dependencies.empty());
+  EXPECT_EQ((std::vector{JobId{"job-2"}, JobId{"job-3"}}), parse_with(R"(["job-3","job-2","job-3"])")->dependencies);
+  for (const char* invalid :
+       {R"("job-2")", "[1]", R"(["x"])", R"([null])", "{}", "7", R"(["job-"])", R"([["job-2"]])"}) {
+    EXPECT_FALSE(parse_with(invalid).has_value()) << invalid;
   }
 }
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -14,14 +14,15 @@
 namespace martenwall::rt {
 namespace {
 
-struct Read {
+struct ParsedRequests {
   std::vector<std::string> bodies;
   int error = 0;
 };
 
-Read read_all(const std::string& bytes, const std::vector<std::size_t>& cuts, HttpParser::Limits limits = {}) {
+ParsedRequests read_all(const std::string& bytes, const std::vector<std::size_t>& cuts,
+                        HttpParser::Limits limits = {}) {
   HttpParser parser{HttpParser::Kind::request, limits};
-  Read out;
+  ParsedRequests out;
   std::size_t pos = 0;
   std::size_t cut = 0;
   while (pos < bytes.size() && !parser.failed()) {
@@ -40,29 +41,29 @@
 RC_GTEST_PROP(http_parser, any_split_gives_the_same_messages,
               (std::vector<std::string> bodies, std::vector<std::size_t> cuts)) {
   std::string bytes;
-  std::vector<std::string> wanted;
+  std::vector<std::string> expected;
   for (const auto& body : bodies) {
-    if (wanted.size() % 2 == 0) {
-      bytes += "POST /a/" + std::to_string(wanted.size()) +
+    if (expected.size() % 2 == 0) {
+      bytes += "POST /a/" + std::to_string(expected.size()) +
                " HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     } else {
       std::string chunks;
       for (const char c : body) chunks += std::string{"1;x=y\r\n"} + c + "\r\n";
-      bytes += "POST /a/" + std::to_string(wanted.size()) + " HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks +
-               "0\r\n\r\n";
+      bytes += "POST /a/" + std::to_string(expected.size()) + " HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" +
+               chunks + "0\r\n\r\n";
     }
-    wanted.push_back("POST /a/" + std::to_string(wanted.size()) + " " + body);
+    expected.push_back("POST /a/" + std::to_string(expected.size()) + " " + body);
   }
-  const auto got = read_all(bytes, cuts);
-  RC_ASSERT(got.error == 0);
-  RC_ASSERT(got.bodies == wanted);
+  const auto parsed = read_all(bytes, cuts);
+  RC_ASSERT(parsed.error == 0);
+  RC_ASSERT(parsed.bodies == expected);
 }
 
 RC_GTEST_PROP(http_parser, garbage_ends_in_an_error_or_waits,
               (const std::string& garbage, std::vector<std::size_t> cuts)) {
-  const auto got = read_all("GET " + garbage, cuts);
-  RC_ASSERT(got.error == 0 || (got.error >= 400 && got.error < 600));
-  RC_ASSERT(read_all("GET " + garbage, {}).error == got.error);
+  const auto parsed = read_all("GET " + garbage, cuts);
+  RC_ASSERT(parsed.error == 0 || (parsed.error >= 400 && parsed.error < 600));
+  RC_ASSERT(read_all("GET " + garbage, {}).error == parsed.error);
 }
 
 int error_of(const std::string& bytes) { return read_all(bytes, {}).error; }
@@ -93,7 +94,7 @@
   HttpClient client{loop, 8, 1 << 20, 4};
 };
 
-Task<void> ask(Loopback& l, std::string target, std::string body, std::vector<HttpResult>& out) {
+Task<void> send_request(Loopback& l, std::string target, std::string body, std::vector<HttpResult>& out) {
   std::string to = "127.0.0.1:" + std::to_string(l.server.port());
   std::string method = "POST";
   HttpResult r =
@@ -101,16 +102,16 @@
   out.push_back(std::move(r));
 }
 
-// Over real sockets; ends when all answers are there, however long that takes.
+// Uses real sockets; ends when all responses have arrived, however long that takes.
 TEST(http_server, answers_large_bodies_and_survives_a_faulty_handler) {
   Loopback l;
   std::vector<HttpResult> out;
   spawn(l.server.serve());
-  spawn(ask(l, "/echo", std::string(60000, 'z'), out));
+  spawn(send_request(l, "/echo", std::string(60000, 'z'), out));
   while (out.empty()) l.loop.step();
-  spawn(ask(l, "/throw", "x", out));
+  spawn(send_request(l, "/throw", "x", out));
   while (out.size() < 2) l.loop.step();
-  spawn(ask(l, "/echo", "after", out));
+  spawn(send_request(l, "/echo", "after", out));
   while (out.size() < 3) l.loop.step();
   EXPECT_EQ(std::string(60000, 'z'), out[0].body);
   EXPECT_EQ(500, out[1].status);
@@ -134,8 +135,8 @@
   EXPECT_EQ(Outcome::not_sent, out[0].outcome);
 }
 
-// A process that stood still finds what came meanwhile: the requests of those who gave up are not worked through,
-// those of clients that still wait are.
+// After a stall, a process finds the requests that arrived meanwhile. Requests of clients that closed their connection
+// are not handled; those of clients that still wait are.
 TEST(http_server, after_a_stall_serves_only_those_who_still_wait) {
   Loop loop;
   std::vector<std::string> handled;
@@ -147,7 +148,7 @@
                     }};
   spawn(server.serve());
   loop.step();
-  const auto connected = [&] {
+  const auto connect_client = [&] {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in a{};
     a.sin_family = AF_INET;
@@ -160,19 +161,19 @@
     const std::string text = "GET " + target + " HTTP/1.1\r\n\r\n";
     EXPECT_EQ(static_cast<ssize_t>(text.size()), ::send(fd, text.data(), text.size(), 0));
   };
-  const int gone = connected();
-  const int waits = connected();
+  const int closed_client = connect_client();
+  const int waiting_client = connect_client();
   loop.step();
-  send(gone, "/gone");
-  send(waits, "/waits");
-  ::close(gone);
-  std::this_thread::sleep_for(std::chrono::milliseconds(1100));  // longer is as good: the stall is measured
+  send(closed_client, "/gone");
+  send(waiting_client, "/waits");
+  ::close(closed_client);
+  std::this_thread::sleep_for(std::chrono::milliseconds(1100));  // a longer sleep is fine: the stall is measured
   while (handled.empty()) loop.step();
   loop.step();
   EXPECT_EQ(std::vector<std::string>{"/waits"}, handled);
   ASSERT_FALSE(stalls.empty());
   EXPECT_GE(stalls[0], seconds(1));
-  ::close(waits);
+  ::close(waiting_client);
 }
 
 }  // namespace
--- a/tests/key_comparison_test.cpp
+++ b/tests/key_comparison_test.cpp
@@ -1,13 +1,11 @@
-// A transaction that only compares asks for the keys of many jobs at once; a conflict names those that exist.
-//
-// What happened: `wire::parse_failed_keys` looped over `list(parse(body), "failed")`. `list` returns a reference into
-// the value that `parse` made, and of a range-for only the outermost temporary lives on: the value was gone before the
-// first key was read. No key came back, so that `StoreClient::find_existing` reported that none of the keys exists, and
-// each poll and each dependency was read row by row from a store that gives few requests a second. What showed it:
-// `stored_bytes.keys_of_failed_conditions_are_read` gets `{}` in builds with and without optimisation, and
-// AddressSanitizer names `heap-use-after-free` in `parse_failed_keys`.
-//
-// An empty result also hid that "no key" had two meanings: none exists, and an answer that nobody can read.
+// A transaction of conditions only checks many jobs' keys at once; a conflict names the keys that exist.
+// The fault: `wire::parse_failed_keys` looped over `list(parse(body), "failed")`. `list` returns a reference into the
+// value that `parse` made, and a range-for extends the lifetime of the outermost temporary only, so the value was
+// destroyed before the first key was read. No key was returned, `StoreClient::find_existing` reported that none of the
+// keys exists, and each poll and each dependency was read row by row from a store that allows few requests a second. It
+// was shown by `stored_bytes.keys_of_failed_conditions_are_read`, which gets `{}` in builds with and without
+// optimization, and by AddressSanitizer, which reports `heap-use-after-free` in `parse_failed_keys`.
+// The empty result was also ambiguous: either no key exists, or the response could not be read.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
@@ -26,12 +24,12 @@
 using Keys = std::set<std::string>;
 using nlohmann::json;
 
-// The stand-in's store behind HTTP, or one answer for every request.
+// The store stand-in behind HTTP, or one fixed response to every request.
 struct ComparedStore {
   rt::Loop loop;
   stand_ins::StoreModel model;
-  std::optional<rt::HttpResponse> canned;
-  std::vector<std::size_t> conditions;  // of the transactions, as they came
+  std::optional<rt::HttpResponse> fixed_response;
+  std::vector<std::size_t> conditions;  // counts of the received transactions, in order
   std::ostringstream log;
   rt::HttpServer server{
       loop, *rt::Endpoint::parse("127.0.0.1:0"), {}, [this](rt::HttpMessage m) { return answer(std::move(m)); }};
@@ -55,16 +53,16 @@
   rt::Task<rt::HttpResponse> answer(rt::HttpMessage request) {
     const json txn = json::parse(request.body);
     conditions.push_back(txn.at("when").size());
-    if (canned) co_return *canned;
+    if (fixed_response) co_return *fixed_response;
     auto reply = model.commit(txn, loop.now());
     co_return rt::HttpResponse{reply.status, std::move(reply.body), {}, false};
   }
-  rt::Task<void> ask(std::vector<std::string> keys, std::optional<KeyComparison>& out) {
+  rt::Task<void> run_find(std::vector<std::string> keys, std::optional<KeyComparison>& out) {
     out = co_await client.find_existing(std::move(keys), seconds(5));
   }
   KeyComparison find(std::vector<std::string> keys) {
     std::optional<KeyComparison> out;
-    rt::spawn(ask(std::move(keys), out));
+    rt::spawn(run_find(std::move(keys), out));
     const Time until = loop.update_time() + seconds(20);
     while (!out && loop.now() < until) loop.step();
     return out.value_or(KeyComparison{});
@@ -86,15 +84,15 @@
   EXPECT_EQ((Keys{"f/job-1", "j/job-3"}), all.existing);
 }
 
-// Whatever is stored and whatever is asked for: exactly what is in both comes back.
+// For any stored and queried keys, exactly those in both sets are returned.
 RC_GTEST_PROP(key_comparison, tells_of_any_keys_exactly_those_that_exist,
-              (std::set<std::uint8_t> stored, std::set<std::uint8_t> asked)) {
+              (std::set<std::uint8_t> stored, std::set<std::uint8_t> queried)) {
   ComparedStore s;
   const auto key_of = [](std::uint8_t n) { return "j/job-" + std::to_string(n); };
   for (const auto n : stored) s.model.write(key_of(n), json::object());
   std::vector<std::string> keys;
   Keys both;
-  for (const auto n : asked) {
+  for (const auto n : queried) {
     keys.push_back(key_of(n));
     if (stored.contains(n)) both.insert(key_of(n));
   }
@@ -103,25 +101,25 @@
   RC_ASSERT(found.existing == both);
 }
 
-// A conflict means that at least one key exists. One that does not say which is no answer; taken for "none exists", a
-// job that was accepted would look as if it never had been.
+// A conflict means that at least one key exists. A conflict without valid keys is not an answer: if it were read as
+// "none exists", an accepted job would look as if it had never existed.
 TEST(key_comparison, a_conflict_that_cannot_be_understood_is_not_none) {
   for (const auto* body : {
            R"({"epoch":4})",                                    // no list
            R"({"failed":null,"epoch":4})",                      // null
            R"({"failed":"j/job-1"})",                           // not a list
            R"({"failed":{"j/job-1":1}})",                       // not a list
-           R"({"failed":["j/job-1",7]})",                       // an entry that is no string
+           R"({"failed":["j/job-1",7]})",                       // an entry that is not a string
            R"({"failed":["j/job-1",null]})",                    // the same
-           R"({"failed":["j/job-1","j/job-9"]})",               // a key that nobody asked for
-           R"({"failed":[]})",                                  // names none
-           R"({"failed":["j/job-1")",                           // cut off
+           R"({"failed":["j/job-1","j/job-9"]})",               // a key that was not queried
+           R"({"failed":[]})",                                  // names no key
+           R"({"failed":["j/job-1")",                           // truncated
            R"(["j/job-1"])",                                    // not an object
-           R"("failed")", "", "[[[[[[[[[[[[[[1]]]]]]]]]]]]]]",  // nothing of the kind
+           R"("failed")", "", "[[[[[[[[[[[[[[1]]]]]]]]]]]]]]",  // not a conflict body
        }) {
     SCOPED_TRACE(body);
     ComparedStore s;
-    s.canned = rt::HttpResponse{409, body, {}, false};
+    s.fixed_response = rt::HttpResponse{409, body, {}, false};
     const KeyComparison found = s.find({"j/job-1", "f/job-1"});
     EXPECT_EQ(Outcome::unreadable_conflict, found.outcome);
     EXPECT_EQ(Keys{}, found.existing);
@@ -131,7 +129,7 @@
   }
 }
 
-// The store's limits may fall: the caller is told, and what may be asked for at once is less from then on.
+// The store may lower its limits: the caller gets a distinct outcome, and fewer keys are queried at once from then on.
 TEST(key_comparison, too_many_keys_are_told_apart_from_no_answer) {
   ComparedStore s{8};
   std::vector<std::string> keys;
@@ -139,7 +137,7 @@
   EXPECT_EQ(Outcome::too_many_keys, s.find(keys).outcome);
   EXPECT_EQ(50U, s.ctx.limits.txn_ops());
   for (const int status : {503, 429, 500}) {
-    s.canned = rt::HttpResponse{status, "{}", {}, false};
+    s.fixed_response = rt::HttpResponse{status, "{}", {}, false};
     EXPECT_EQ(Outcome::unanswered, s.find({"j/job-1"}).outcome) << status;
   }
 }
--- a/tests/matcher_test.cpp
+++ b/tests/matcher_test.cpp
@@ -9,7 +9,8 @@
 namespace martenwall {
 namespace {
 
-// A generated round: a few jobs of all kinds and machines of two zones, partly used, with some images.
+// A generated placement problem: a few jobs of all kinds, and machines in two zones that are partly used and cache some
+// images.
 struct GeneratedProblem {
   Policy policy;
   MachineType type{"g", {16, 8, 64}, 50, 1, 10, 3, 40, {"a", "b"}};
@@ -55,15 +56,18 @@
 
 using Placed = std::vector<std::pair<std::size_t, std::vector<std::size_t>>>;
 
-// The matching as it is defined: all entries by value, the highest first.
-class PlainMatcher {
+// Reference implementation of the matching by its definition: visits all entries by score, highest first.
+class ReferenceMatcher {
  public:
-  explicit PlainMatcher(GeneratedProblem& s)
-      : s_(s), matrix_(build_scores(s.problem)), quota_usage_(s.teams), zones_(s.problem.jobs.size()) {}
+  explicit ReferenceMatcher(GeneratedProblem& scene)
+      : scene_(scene),
+        matrix_(build_scores(scene.problem)),
+        quota_usage_(scene.teams),
+        zones_(scene.problem.jobs.size()) {}
   Placed run() {
     std::vector<std::pair<std::size_t, std::size_t>> entries;
-    for (std::size_t r = 0; r < s_.problem.jobs.size(); ++r) {
-      for (std::size_t c = 0; c < s_.problem.machines.size(); ++c) {
+    for (std::size_t r = 0; r < scene_.problem.jobs.size(); ++r) {
+      for (std::size_t c = 0; c < scene_.problem.machines.size(); ++c) {
         if (matrix_.allowed(r, c)) entries.emplace_back(r, c);
       }
     }
@@ -71,10 +75,10 @@
         entries, [&](auto a, auto b) { return matrix_.at(a.first, a.second) > matrix_.at(b.first, b.second); });
     std::set<std::size_t> closed;
     for (const auto& [r, c] : entries) {
-      if (s_.problem.jobs[r].job->spec.kind == JobKind::gang) {
-        if (closed.insert(r).second) gang(r);
+      if (scene_.problem.jobs[r].job->spec.kind == JobKind::gang) {
+        if (closed.insert(r).second) match_gang(r);
       } else {
-        while (s_.problem.jobs[r].count > 0 && fits(r, c, zones_[r])) take(r, {c});
+        while (scene_.problem.jobs[r].count > 0 && fits(r, c, zones_[r])) assign(r, {c});
       }
     }
     return out_;
@@ -82,95 +86,98 @@
 
  private:
   bool fits(std::size_t r, std::size_t c, const ZoneCounts& zones) const {
-    const auto& spec = s_.problem.jobs[r].job->spec;
-    const auto& col = s_.problem.machines[c];
-    return col.slots > 0 && spec.need.fits_in(col.free) &&
-           quota_usage_.max_additional_tasks(spec.team, spec.need) > 0 && zone_allows(spec, zones, col.machine->zone);
+    const auto& spec = scene_.problem.jobs[r].job->spec;
+    const auto& column = scene_.problem.machines[c];
+    return column.slots > 0 && spec.need.fits_in(column.free) &&
+           quota_usage_.max_additional_tasks(spec.team, spec.need) > 0 &&
+           zone_allows(spec, zones, column.machine->zone);
   }
-  void take(std::size_t r, const std::vector<std::size_t>& columns) {
+  void assign(std::size_t r, const std::vector<std::size_t>& columns) {
     for (const auto c : columns) {
-      const auto& spec = s_.problem.jobs[r].job->spec;
-      s_.problem.machines[c].free.add(spec.need, -1);
-      --s_.problem.machines[c].slots;
+      const auto& spec = scene_.problem.jobs[r].job->spec;
+      scene_.problem.machines[c].free.add(spec.need, -1);
+      --scene_.problem.machines[c].slots;
       quota_usage_.add(spec.team, spec.need);
-      ++zones_[r][s_.problem.machines[c].machine->zone];
-      --s_.problem.jobs[r].count;
+      ++zones_[r][scene_.problem.machines[c].machine->zone];
+      --scene_.problem.jobs[r].count;
     }
     out_.emplace_back(r, columns);
   }
-  void gang(std::size_t r) {
-    const auto& spec = s_.problem.jobs[r].job->spec;
+  void match_gang(std::size_t r) {
+    const auto& spec = scene_.problem.jobs[r].job->spec;
     if (quota_usage_.max_additional_tasks(spec.team, spec.need) < spec.tasks) return;
     std::vector<std::size_t> best;
     double best_value = -1;
     for (const std::string zone : {"a", "b"}) {
-      auto some = gather(r, spec.one_zone ? zone : "");
+      auto columns = collect_columns(r, spec.one_zone ? zone : "");
       double value = 0;
-      for (const auto c : some) value += matrix_.at(r, c);
-      if (some.size() == spec.tasks && value > best_value) {
-        best = std::move(some);
+      for (const auto c : columns) value += matrix_.at(r, c);
+      if (columns.size() == spec.tasks && value > best_value) {
+        best = std::move(columns);
         best_value = value;
       }
     }
-    if (!best.empty()) take(r, best);
+    if (!best.empty()) assign(r, best);
   }
-  std::vector<std::size_t> gather(std::size_t r, const std::string& zone) const {
-    const auto& spec = s_.problem.jobs[r].job->spec;
+  std::vector<std::size_t> collect_columns(std::size_t r, const std::string& zone) const {
+    const auto& spec = scene_.problem.jobs[r].job->spec;
     std::vector<std::size_t> order;
-    for (std::size_t c = 0; c < s_.problem.machines.size(); ++c) {
-      if (matrix_.allowed(r, c) && (zone.empty() || s_.problem.machines[c].machine->zone == zone)) order.push_back(c);
+    for (std::size_t c = 0; c < scene_.problem.machines.size(); ++c) {
+      if (matrix_.allowed(r, c) && (zone.empty() || scene_.problem.machines[c].machine->zone == zone))
+        order.push_back(c);
     }
     std::ranges::stable_sort(order, [&](auto a, auto b) { return matrix_.at(r, a) > matrix_.at(r, b); });
     std::vector<std::size_t> out;
     ZoneCounts zones;
     for (const auto c : order) {
-      auto room = s_.problem.machines[c].free;
-      for (auto slots = s_.problem.machines[c].slots; slots > 0 && out.size() < spec.tasks && spec.need.fits_in(room) &&
-                                                      zone_allows(spec, zones, s_.problem.machines[c].machine->zone);
+      auto free = scene_.problem.machines[c].free;
+      for (auto slots = scene_.problem.machines[c].slots;
+           slots > 0 && out.size() < spec.tasks && spec.need.fits_in(free) &&
+           zone_allows(spec, zones, scene_.problem.machines[c].machine->zone);
            --slots) {
         out.push_back(c);
-        room.add(spec.need, -1);
-        ++zones[s_.problem.machines[c].machine->zone];
+        free.add(spec.need, -1);
+        ++zones[scene_.problem.machines[c].machine->zone];
       }
     }
     return out;
   }
 
-  GeneratedProblem& s_;
+  GeneratedProblem& scene_;
   ScoreMatrix matrix_;
   QuotaUsage quota_usage_;
   std::vector<ZoneCounts> zones_;
   Placed out_;
 };
 
-// Sorting rows only when their turn comes must give the very matches of sorting all entries.
+// Sorting rows lazily must produce the same matches as sorting all entries at once.
 RC_GTEST_PROP(matcher, places_as_a_plain_highest_first_walk_does, ()) {
   GeneratedProblem scene;
   PlacementProblem problem = scene.problem;
   const auto matrix = build_scores(problem);
-  ScoreMatrix copy = matrix;
+  ScoreMatrix scores = matrix;
   QuotaUsage quota_usage{scene.teams};
   Placed lazy;
-  for (auto& match : Matcher{problem, copy, quota_usage, scene.machines}.run())
+  for (auto& match : Matcher{problem, scores, quota_usage, scene.machines}.run())
     lazy.emplace_back(match.row, match.columns);
-  const auto plain = PlainMatcher{scene}.run();
-  RC_ASSERT(lazy == plain);
+  const auto reference = ReferenceMatcher{scene}.run();
+  RC_ASSERT(lazy == reference);
 }
 
-// At the registry a fifth of the signing gangs' machine time was lost where an image takes longer to fetch than a
-// task waits for the others: those that had it gave up, and the rest gave up their fetch with them.
+// At the registry site, a fifth of the machine time of the signing gangs was lost where an image takes longer to fetch
+// than a task waits for its gang: the tasks that had the image gave up, and the others then abandoned their fetches.
 RC_GTEST_PROP(matcher, a_gang_with_a_uniform_image_is_all_cached_or_all_cold, ()) {
-  GeneratedProblem s;
-  for (auto& row : s.problem.jobs) row.uniform_image = row.job->spec.kind == JobKind::gang;
-  auto matrix = build_scores(s.problem);
-  QuotaUsage quota_usage{s.teams};
-  Matcher matcher{s.problem, matrix, quota_usage, s.machines};
+  GeneratedProblem scene;
+  for (auto& row : scene.problem.jobs) row.uniform_image = row.job->spec.kind == JobKind::gang;
+  auto matrix = build_scores(scene.problem);
+  QuotaUsage quota_usage{scene.teams};
+  Matcher matcher{scene.problem, matrix, quota_usage, scene.machines};
   for (const auto& match : matcher.run()) {
-    const auto& row = s.problem.jobs[match.row];
+    const auto& row = scene.problem.jobs[match.row];
     if (!row.uniform_image) continue;
     RC_ASSERT(match.columns.size() == row.job->spec.tasks);
     const auto cached = std::ranges::count_if(
-        match.columns, [&](auto c) { return s.problem.machines[c].machine->has_image(row.job->image); });
+        match.columns, [&](auto c) { return scene.problem.machines[c].machine->has_image(row.job->image); });
     RC_ASSERT(cached == 0 || static_cast<std::size_t>(cached) == match.columns.size());
   }
 }
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -13,11 +13,11 @@
   m.cycles.observe(seconds(0.003));
   m.cycles.observe(seconds(0.2));
   m.count_heartbeat(metrics::HeartbeatPath::relayed, 7);
-  metrics::Gauges l;
-  l.leads = true;
-  l.worker_connections = 42;
-  l.store_queues[0] = {3, 1.5};
-  m.set(l);
+  metrics::Gauges gauges;
+  gauges.leads = true;
+  gauges.worker_connections = 42;
+  gauges.store_queues[0] = {3, 1.5};
+  m.set(gauges);
   const auto text = m.exposition();
   for (const auto* line : {"# TYPE martenwall_round_seconds histogram", "martenwall_round_seconds_count 2",
                            "martenwall_round_seconds_bucket{le=\"0.005\"} 1", "martenwall_leads 1",
@@ -46,8 +46,8 @@
   }
   EXPECT_EQ("scan/red 2 taken, 1 started after 12 s, 0 done, 0.00 in time; 1 more served better",
             record.minute_line(1));
-  EXPECT_EQ("", record.minute_line(12)) << "a line tells of its minute only";
-  // Classes are named by users: metrics must not grow with them.
+  EXPECT_EQ("", record.minute_line(12)) << "a line covers its minute only";
+  // Users choose the class names, so the number of metrics must not grow with them.
   for (int i = 0; i < 500; ++i) record.submitted("class-" + std::to_string(i), "red");
   EXPECT_EQ(load::ServiceRecord::max_pairs + 1, record.all().size());
 }
@@ -64,7 +64,7 @@
   EXPECT_NE(std::string::npos, second.find("0 here")) << second;
 }
 
-// Off unless a port is set for it: the listener is nobody's by accident.
+// The listener is off unless a port is configured, so that it is never exposed by accident.
 TEST(metrics_service, listens_only_where_a_port_is_set) {
   rt::Loop loop;
   auto log = std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
@@ -72,24 +72,26 @@
   s.node = "here";
   s.state = s.cloud = "127.0.0.1:1";
   s.workers = {3, 19, 50, 4, 39};
-  service::Context off{loop, s, Policy{}, log};
-  service::StoreClient off_state{off};
-  EXPECT_EQ(0, service::MetricsService(off, off_state, [] { return service::MetricsService::Connections{}; }).port());
+  service::Context disabled_ctx{loop, s, Policy{}, log};
+  service::StoreClient disabled_state{disabled_ctx};
+  EXPECT_EQ(0, service::MetricsService(disabled_ctx, disabled_state, [] {
+                 return service::MetricsService::Connections{};
+               }).port());
 
-  // A port that is free now, as the system gives it.
+  // A free port chosen by the system.
   const auto port = rt::Listener{loop, *rt::Endpoint::parse("127.0.0.1:0")}.port();
-  Policy on;
-  on.metrics_port = port;
-  service::Context ctx{loop, s, on, log};
+  Policy enabled;
+  enabled.metrics_port = port;
+  service::Context ctx{loop, s, enabled, log};
   service::StoreClient state{ctx};
   service::MetricsService served{ctx, state, [] { return service::MetricsService::Connections{9, 4, 100}; }};
   rt::spawn(served.run());
   rt::HttpClient client{loop, 1, 1024 * 1024, 0};
   std::optional<rt::HttpResult> result;
-  const auto ask = [&]() -> rt::Task<void> {
+  const auto request_metrics = [&]() -> rt::Task<void> {
     result = co_await client.request("127.0.0.1:" + std::to_string(port), "GET", "/metrics", "", seconds(10));
   };
-  rt::spawn(ask());
+  rt::spawn(request_metrics());
   const Time until = loop.update_time() + seconds(20);
   while (!result && loop.now() < until) loop.step();
   ASSERT_TRUE(result);
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -17,7 +17,7 @@
   return s;
 }
 
-// A node and the one other node that it knows, on loopback.
+// A node and its only peer, on loopback.
 struct NodePair {
   rt::Loop loop;
   std::shared_ptr<spdlog::logger> log =
@@ -32,13 +32,13 @@
     const wire::PeerReply reply{status, "", {}};
     co_return reply;
   }
-  void run_until(PeerService::Availability wanted) {
+  void run_until(PeerService::Availability expected) {
     const Time until = loop.update_time() + seconds(20);
-    while (here.availability() != wanted && loop.now() < until) loop.step();
+    while (here.availability() != expected && loop.now() < until) loop.step();
   }
 };
 
-// Found by inc-4c3d: the first ping, sent once the state service fails, ended the process.
+// Found by inc-4c3d: the first ping, sent when the store fails, ended the process.
 TEST(peer_service, an_isolated_node_learns_whether_others_are_better_connected) {
   NodePair p;
   rt::spawn(p.here.run_pings());
@@ -51,18 +51,18 @@
   EXPECT_EQ(PeerService::Availability::serving, p.here.availability());
 }
 
-// A leader that alone is cut off from the cloud could neither hire nor return anything.
+// A leader that is the only node cut off from the cloud could otherwise neither start nor return machines.
 TEST(cloud_service, asks_another_node_to_forward_requests) {
   rt::Loop loop;
   auto log = std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
-  int asked = 0;
+  int requests = 0;
   rt::HttpServer cloud{
       loop, *rt::Endpoint::parse("127.0.0.1:0"), {}, [&](rt::HttpMessage m) -> rt::Task<rt::HttpResponse> {
-        ++asked;
-        const bool right = m.method == "GET" && m.target == "/flavors";
+        ++requests;
+        const bool is_expected = m.method == "GET" && m.target == "/flavors";
         std::string body = R"({"breeds":[{"sku":"g8","cpus":96,"accelerators":8,"memGb":768,"cacheGb":200,)"
                            R"("pullGbPerS":1.0,"hourly":12.0,"spotPrice":4.5,"readyS":45,"yards":["a"]}]})";
-        co_return rt::HttpResponse{right ? 200 : 400, std::move(body), {}, false};
+        co_return rt::HttpResponse{is_expected ? 200 : 400, std::move(body), {}, false};
       }};
   rt::spawn(cloud.serve());
   auto other_settings = settings_with({});
@@ -74,7 +74,7 @@
   other_cloud.emplace(other_ctx, other_state, other);
   rt::spawn(other.serve());
   auto settings = settings_with({{"other", "a", "127.0.0.1:" + std::to_string(other.port())}});
-  settings.cloud = "127.0.0.1:1";  // refuses
+  settings.cloud = "127.0.0.1:1";  // refuses connections
   Context ctx{loop, settings, Policy{}, log};
   StoreClient state{ctx};
   PeerService peers{ctx, [](wire::PeerRequest) { return NodePair::answer(421); }};
@@ -84,7 +84,7 @@
   while (ctx.types.empty() && loop.now() < until) loop.step();
   ASSERT_EQ(1U, ctx.types.size());
   EXPECT_EQ("g8", ctx.types[0].name);
-  EXPECT_EQ(1, asked);
+  EXPECT_EQ(1, requests);
 }
 
 }  // namespace
--- a/tests/recorded_rounds_test.cpp
+++ b/tests/recorded_rounds_test.cpp
@@ -1,5 +1,5 @@
-// What the core gave out on a few days of the simulation, held against what was recorded of an earlier version: a
-// change that must not change decisions is shown not to. One that means to records anew (CONTRIBUTING.md).
+// Compares the decisions of the core on a few simulated days with those recorded from an earlier version: a change that
+// must not alter decisions is shown not to. A change that is meant to alter them records them anew (CONTRIBUTING.md).
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -14,7 +14,7 @@
 constexpr double minute = 60;
 constexpr int minutes = 6;
 
-// FNV-1a: the same in every build, unlike std::hash.
+// FNV-1a digest: the same in every build, unlike std::hash.
 class Digest {
  public:
   void add(const std::string& line) {
@@ -39,30 +39,31 @@
 };
 
 std::vector<Day> days() {
-  sim::Faults calm;
-  calm.node_crash = calm.store_cut = calm.node_freeze = calm.worker_cut = calm.machine_death = 0;
-  calm.delayed_command = calm.delayed_heartbeat = calm.lost_response = calm.task_error = 0;
+  sim::Faults no_faults;
+  no_faults.node_crash = no_faults.store_cut = no_faults.node_freeze = no_faults.worker_cut = no_faults.machine_death =
+      0;
+  no_faults.delayed_command = no_faults.delayed_heartbeat = no_faults.lost_response = no_faults.task_error = 0;
   sim::Faults relayed;
   relayed.relays = true;
   sim::Faults range_rows;
   range_rows.range_rows_from_start = true;
   range_rows.node_crash = 0.02;
-  return {{"calm", 1, calm},        {"calm", 2, calm},        {"mixed", 3, {}},        {"mixed", 4, {}},
+  return {{"calm", 1, no_faults},   {"calm", 2, no_faults},   {"mixed", 3, {}},        {"mixed", 4, {}},
           {"mixed", 5, {}},         {"mixed", 6, {}},         {"relayed", 7, relayed}, {"relayed", 8, relayed},
           {"gated", 9, range_rows}, {"gated", 10, range_rows}};
 }
 
-// One line a minute, so that a difference is found near where it begins: which minute, then a column of what was
-// decided and one of what was logged.
+// One line per minute, so that a difference is found close to its origin: the minute, a digest of the decisions, and a
+// digest of the log.
 struct Line {
   std::string minute, decisions, log;
 };
 
 constexpr char tab = '\t';
 
-std::string text_of(const Line& line) { return line.minute + tab + line.decisions + tab + line.log; }
+std::string to_text(const Line& line) { return line.minute + tab + line.decisions + tab + line.log; }
 
-Line line_of(const std::string& text) {
+Line parse_line(const std::string& text) {
   Line line;
   std::istringstream in{text};
   std::getline(in, line.minute, tab);
@@ -71,7 +72,7 @@
   return line;
 }
 
-std::vector<Line> played(const Day& day) {
+std::vector<Line> run_day(const Day& day) {
   sim::World world{day.seed, day.faults};
   Digest decisions;
   Digest log;
@@ -87,16 +88,16 @@
 
 std::string path() { return std::string{MARTENWALL_TEST_DATA} + "/recorded_rounds.txt"; }
 
-std::vector<Line> recorded() {
+std::vector<Line> read_recorded() {
   std::ifstream in{path()};
   std::vector<Line> out;
-  for (std::string text; std::getline(in, text);) out.push_back(line_of(text));
+  for (std::string text; std::getline(in, text);) out.push_back(parse_line(text));
   return out;
 }
 
 void record(const std::vector<Line>& lines) {
   std::ofstream out{path()};
-  for (const auto& line : lines) out << text_of(line) << "\n";
+  for (const auto& line : lines) out << to_text(line) << "\n";
 }
 
 void expect_same_decisions(const std::vector<Line>& before, const std::vector<Line>& now) {
@@ -107,24 +108,24 @@
   }
 }
 
-// MARTENWALL_RECORD=1 records both columns anew, MARTENWALL_RECORD=log only that of the log text, and only where the
-// decisions are the recorded ones.
+// MARTENWALL_RECORD=1 records both columns anew. MARTENWALL_RECORD=log records only the column of the log text, and
+// only if the decisions equal the recorded ones.
 TEST(recorded_rounds, decisions_and_log_text_are_those_of_the_recorded_version) {
   std::vector<Line> now;
   for (const auto& day : days()) {
-    for (auto& line : played(day)) now.push_back(std::move(line));
+    for (auto& line : run_day(day)) now.push_back(std::move(line));
   }
-  const char* wanted = std::getenv("MARTENWALL_RECORD");
-  const std::string to_record = wanted == nullptr ? "" : wanted;
+  const char* setting = std::getenv("MARTENWALL_RECORD");
+  const std::string to_record = setting == nullptr ? "" : setting;
   ASSERT_TRUE(to_record.empty() || to_record == "1" || to_record == "log") << "MARTENWALL_RECORD=" << to_record;
   if (to_record == "1") {
     record(now);
     GTEST_SKIP() << "decisions and log text recorded anew";
   }
-  const auto before = recorded();
+  const auto before = read_recorded();
   expect_same_decisions(before, now);
   if (to_record == "log") {
-    ASSERT_FALSE(HasFailure()) << "nothing recorded: the decisions are not the recorded ones";
+    ASSERT_FALSE(HasFailure()) << "nothing recorded: the decisions differ from the recorded ones";
     record(now);
     GTEST_SKIP() << "log text recorded anew";
   }
--- a/tests/shortage_test.cpp
+++ b/tests/shortage_test.cpp
@@ -1,4 +1,4 @@
-// A fleet that is wanted for more than it can do: who is served.
+// Prioritization in a shortage: which jobs are served if demand exceeds the capacity of the fleet.
 #include <gtest/gtest.h>
 
 #include "core/scheduler/scheduler.hpp"
@@ -7,10 +7,11 @@
 namespace martenwall {
 namespace {
 
-// One scheduler, two machines; tasks run as long as they are told to, or the first six each longer than the one before.
+// One scheduler and two machines. Tasks run for their estimate; with spread_run_times, each of the first six tasks runs
+// longer than the one before.
 class ShortageFixture {
  public:
-  // Machines of eight GPUs; by default a shortage is told apart.
+  // Machines of eight GPUs; shortage prioritization has the given weight.
   explicit ShortageFixture(double weight)
       : ShortageFixture(options(weight), {"g", {64, 8, 512}, 1000, 1, 10, 3, 40, {"a"}}) {}
   ShortageFixture(Scheduler::Options options, MachineType type)
@@ -77,11 +78,11 @@
   void report(const char* id) {
     auto r = report_of(id, HeartbeatSequence{++sequence_});
     for (const auto& [task, t] : tasks_[id]) {
-      const bool over = now_ >= t.until;
-      r.tasks.push_back({task, t.attempt, over ? TaskState::ended : TaskState::running,
-                         over ? ExitCause::done : ExitCause::none, false});
+      const bool ended = now_ >= t.until;
+      r.tasks.push_back({task, t.attempt, ended ? TaskState::ended : TaskState::running,
+                         ended ? ExitCause::done : ExitCause::none, false});
     }
-    for (const auto& o : scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true)) execute(id, o);
+    for (const auto& command : scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true)) execute(id, command);
     scheduler_.on_heartbeat_answered(MachineId{id}, now_);
     for (const auto& [job, end] : ends_) {
       const auto* known = scheduler_.find_job(job);
@@ -89,28 +90,29 @@
       if (done_.insert(job).second && now_ <= end) ++in_time_;
     }
   }
-  void execute(const char* id, const Command& o) {
-    if (o.verb == Command::Verb::start) {
-      const double longer = uneven_run_times_ && o.task.index < 6 ? 3.0 * o.task.index : 0;
-      tasks_[id][o.task] = {o.attempt, now_ + seconds(scheduler_.find_job(o.task.job)->spec.estimate_s + longer)};
+  void execute(const char* id, const Command& command) {
+    if (command.verb == Command::Verb::start) {
+      const double extra_s = uneven_run_times_ && command.task.index < 6 ? 3.0 * command.task.index : 0;
+      tasks_[id][command.task] = {command.attempt,
+                                  now_ + seconds(scheduler_.find_job(command.task.job)->spec.estimate_s + extra_s)};
     } else {
-      tasks_[id].erase(o.task);
+      tasks_[id].erase(command.task);
     }
   }
 
   Time now_{seconds(1000)};
   std::uint64_t sequence_ = 0;
-  std::string fleet_line_;  // the last that told what waits
+  std::string fleet_line_;  // the last line that reports pending work
   Scheduler scheduler_;
   std::map<std::string, std::map<TaskId, Task>> tasks_;
   std::map<JobId, Time> ends_;
   std::set<JobId> done_;
   std::size_t in_time_ = 0;
   bool uneven_run_times_ = false;
-  double gpus_ = 0;  // of a task of `scan`
+  double gpus_ = 0;  // required by a task of class `scan`
 };
 
-// Twice as much comes as sixteen GPUs can do, jobs of 4 and of 16 tasks in turn.
+// Submits twice the work that sixteen GPUs can do, as jobs of 4 and of 16 tasks in turn.
 void submit_twice_the_capacity(ShortageFixture& fixture) {
   for (int i = 0; i < 60; ++i) {
     fixture.job(i, i % 2 == 0 ? 4 : 16, 30, 75);
@@ -119,18 +121,19 @@
   fixture.run(700);
 }
 
-// Incident of the day with many losses: nearly all scans were done, but three quarters of them a little late.
+// Incident on the day with many machine losses: nearly all scan jobs completed, but three quarters of them slightly
+// late.
 TEST(shortage, most_jobs_are_in_time_instead_of_all_a_little_late) {
-  ShortageFixture before{0};
-  submit_twice_the_capacity(before);
-  ShortageFixture now{40};
-  submit_twice_the_capacity(now);
-  EXPECT_LT(before.in_time(), 20U);
-  EXPECT_GT(now.in_time(), 30U);
-  EXPECT_EQ(60U, now.done()) << "what could not be in time is done in the end";
+  ShortageFixture without{0};
+  submit_twice_the_capacity(without);
+  ShortageFixture with{40};
+  submit_twice_the_capacity(with);
+  EXPECT_LT(without.in_time(), 20U);
+  EXPECT_GT(with.in_time(), 30U);
+  EXPECT_EQ(60U, with.done()) << "late jobs complete eventually";
 }
 
-// Without a shortage nothing is told apart.
+// Without a shortage, prioritization changes nothing.
 TEST(shortage, where_all_can_be_in_time_it_changes_nothing) {
   for (const double weight : {0.0, 40.0}) {
     ShortageFixture fixture{weight};
@@ -143,9 +146,9 @@
   }
 }
 
-// Machines of 4 CPUs, a team limited to 6: short tasks that can not all be in time, and after them two of
-// a lower rank that each take a machine, which are to start within 150 s.
-void play_limited(ShortageFixture& fixture) {
+// Runs a team limited to 6 CPUs on machines of 4 CPUs: short tasks that cannot all be in time, then two tasks of a
+// lower priority that each need a whole machine and are to start within 150 s.
+void run_limited_team(ShortageFixture& fixture) {
   fixture.spread_run_times();
   fixture.job(1, 2000, 18, 300);
   fixture.run(40);
@@ -159,38 +162,39 @@
   fixture.run(100);
 }
 
-Scheduler::Options limited(bool leave, double begin) {
+Scheduler::Options limited_team_options(bool reserve_headroom, double begin_weight) {
   auto options = ShortageFixture::options(40);
   options.teams = {{"red", {2, 0, 0}, {6, 0, 0}}};
   options.objectives.start_s_by_class["large"] = {150};
-  options.policy.reserve_limit_headroom = leave;
-  options.policy.begin_weight = begin;
+  options.policy.reserve_limit_headroom = reserve_headroom;
+  options.policy.begin_weight = begin_weight;
   return options;
 }
 
 const MachineType four_cpus{"g", {4, 0, 16}, 1000, 1, 0.2, 0.05, 30, {"a"}};
 
-// A day of the boundary survey site: a limit came free one CPU at a time, and tasks of four never found four.
+// On a day of the boundary survey site, capacity within a limit became free one CPU at a time, and tasks of four CPUs
+// never found four.
 TEST(shortage, small_tasks_leave_headroom_for_a_larger_one_within_the_limit) {
-  ShortageFixture before{limited(false, 0), four_cpus};
-  play_limited(before);
-  EXPECT_FALSE(before.began(2)) << "else this shows nothing";
-  ShortageFixture now{limited(true, 0), four_cpus};
-  play_limited(now);
-  EXPECT_TRUE(now.began(2));
+  ShortageFixture without{limited_team_options(false, 0), four_cpus};
+  run_limited_team(without);
+  EXPECT_FALSE(without.began(2)) << "precondition: the task does not start without headroom";
+  ShortageFixture with{limited_team_options(true, 0), four_cpus};
+  run_limited_team(with);
+  EXPECT_TRUE(with.began(2));
 }
 
-// The same where the short ones are not late: they go first, and the large one begins all the same.
+// The same if the short tasks are not late: they have precedence, and the large one still begins.
 TEST(shortage, a_job_without_started_tasks_gets_its_first_task) {
   for (const double begin : {0.0, 9.0}) {
-    ShortageFixture fixture{limited(true, begin), four_cpus};
+    ShortageFixture fixture{limited_team_options(true, begin), four_cpus};
     fixture.spread_run_times();
     JobSpec large;
     large.priority = Priority::best_effort;
     large.tasks = 2;
     large.need = {4, 0, 10};
     large.estimate_s = 30;
-    fixture.job(1, 2000, 18, 10000);  // in time, and as much as the limit can do
+    fixture.job(1, 2000, 18, 10000);  // in time, and enough to use the whole limit
     fixture.run(40);
     fixture.job(2, large);
     fixture.run(160);
@@ -198,15 +202,16 @@
   }
 }
 
-// Arrays of thousands in a team of few CPUs want no more than their limit: others of a lower rank are not given up.
+// Arrays of thousands of tasks in a team with a limit of few CPUs request no more capacity than their limit allows, so
+// jobs of other teams with a lower priority are not deferred for them.
 TEST(shortage, no_machines_are_wanted_for_what_a_limit_keeps_from_starting) {
   auto options = ShortageFixture::options(40);
   options.teams = {{"red", {2, 0, 0}, {2, 0, 0}}, {"blue", {2, 0, 0}, {1e6, 0, 0}}};
   options.objectives.start_s_by_class["later"] = {150};
   ShortageFixture fixture{options, four_cpus};
-  fixture.job(1, 2000, 20, 300);  // late, whatever is done
+  fixture.job(1, 2000, 20, 300);  // late with any schedule
   fixture.run(2);
-  for (const int i : {2, 3}) {  // the first of them fills the machines
+  for (const int i : {2, 3}) {  // the first fills the machines
     JobSpec spec;
     spec.team = "blue";
     spec.job_class = "later";
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -10,12 +10,13 @@
 
 struct Store {
   rt::Loop loop;
-  std::vector<std::size_t> sizes;  // of the transactions, as they came
-  int refusal = 0;
+  std::vector<std::size_t> sizes;  // change counts of the received transactions, in order
+  int refusal_status = 0;
   rt::HttpServer server{
       loop, *rt::Endpoint::parse("127.0.0.1:0"), {}, [this](rt::HttpMessage m) -> rt::Task<rt::HttpResponse> {
         sizes.push_back(nlohmann::json::parse(m.body).at("then").size());
-        if (refusal != 0) co_return rt::HttpResponse{refusal, R"({"error":"value too large"})", {}, false};
+        if (refusal_status != 0)
+          co_return rt::HttpResponse{refusal_status, R"({"error":"value too large"})", {}, false};
         co_return rt::HttpResponse{200, R"({"epoch":7})", {}, false};
       }};
   Context ctx{loop, settings(), Policy{},
@@ -27,18 +28,18 @@
     s.node = "here";
     s.state = "127.0.0.1:" + std::to_string(server.port());
     s.state_rps = 1000;
-    s.state_write_rps = 40;  // without a leader a node may use 0.3 of it
+    s.state_write_rps = 40;  // a node may use 0.3 of it while there is no leader
     s.workers = {3, 19, 50, 4, 39};
     s.state_value_bytes = 8192;
     s.state_txn_ops = 24;
     s.upcoming_state_limits = config::Settings::UpcomingLimits{{}, 28.0, 2048, 8};
     return s;
   }
-  rt::Task<void> refused(TxnOutcome wanted, std::size_t& done) {
+  rt::Task<void> expect_outcome(TxnOutcome expected, std::size_t& done) {
     std::vector<wire::StoreOp> then;
     then.push_back({"k", wire::json::object(), std::nullopt});
     const TxnResult r = co_await client.txn({}, std::move(then), seconds(60));
-    EXPECT_EQ(wanted, r.outcome);
+    EXPECT_EQ(expected, r.outcome);
     ++done;
   }
   rt::Task<void> write(std::size_t n, std::size_t& done) {
@@ -50,7 +51,7 @@
   }
 };
 
-// inc-d2ba: small transactions took each change that was allowed, so that one of many never found enough.
+// inc-d2ba: small transactions used each change that the rate limit allowed, so a large one never found enough.
 TEST(store_client, a_large_transaction_does_not_starve) {
   Store s;
   rt::spawn(s.server.serve());
@@ -62,18 +63,18 @@
   while (done < 8 && s.loop.now() < until) s.loop.step();
   ASSERT_EQ(8U, s.sizes.size());
   EXPECT_EQ(11U, s.sizes[0]);
-  EXPECT_EQ(10U, s.sizes[1]) << "it came before the small ones";
+  EXPECT_EQ(10U, s.sizes[1]) << "it was queued before the small ones";
 }
 
-// A lease that ended and a limit that fell are both 400. Taken for a lost lease, a row that is too large would make
-// each leader step down in turn, for ever.
+// The store answers 400 both for an expired lease and for an exceeded limit. If the latter is taken for a lost lease, a
+// row that is too large makes each leader in turn step down, endlessly.
 TEST(store_client, a_lowered_limit_is_distinguished_from_a_lost_lease_and_adopted) {
   Store s;
   rt::spawn(s.server.serve());
-  s.refusal = 400;
+  s.refusal_status = 400;
   std::size_t done = 0;
   EXPECT_EQ(24U, s.ctx.limits.txn_ops());
-  rt::spawn(s.refused(TxnOutcome::too_large, done));
+  rt::spawn(s.expect_outcome(TxnOutcome::too_large, done));
   const Time until = s.loop.update_time() + seconds(60);
   while (done < 1 && s.loop.now() < until) s.loop.step();
   ASSERT_EQ(1U, done);
@@ -90,13 +91,14 @@
   EXPECT_EQ(8U, limits.txn_ops());
   EXPECT_EQ(40.0, limits.write_rps());
   EXPECT_FALSE(limits.on_rate_refused(Time{seconds(100)}));
-  EXPECT_FALSE(limits.on_rate_refused(Time{seconds(120)}));  // now and then one comes of a burst
+  EXPECT_FALSE(limits.on_rate_refused(Time{seconds(120)}));  // a single refusal may result from a burst
   EXPECT_FALSE(limits.on_rate_refused(Time{seconds(121)}));
   EXPECT_TRUE(limits.on_rate_refused(Time{seconds(122)}));
   EXPECT_EQ(28.0, limits.write_rps());
 }
 
-// Nothing was announced, or less than what came: found by halves, down to where any row still fits.
+// If no limits were announced, or the actual limits are lower, the limits are halved after each refusal, down to a size
+// at which any row fits.
 TEST(store_limits, limits_that_were_not_announced_are_found_out) {
   const Store s;
   auto settings = s.settings();
