--- a/tests/stored_bytes_test.cpp
+++ b/tests/stored_bytes_test.cpp
@@ -1,7 +1,7 @@
-// The bytes that stand in the store and travel between nodes, workers, users and the cloud, held against those that
-// the encoders of 7edafbd wrote (tests/data/stored_bytes.txt): a renaming in the sources must not reach them. What can
-// be read is also read from there and written again. MARTENWALL_RECORD_BYTES=1 adds lines for new samples; it never
-// changes a line that is there (CONTRIBUTING.md).
+// Compares the bytes that are stored and that travel between nodes, workers, users and the cloud with those that the
+// encoders of 7edafbd wrote (tests/data/stored_bytes.txt), so that a rename in the sources cannot change them. Samples
+// that have a decoder are also decoded from the recorded bytes and encoded again. MARTENWALL_RECORD_BYTES=1 adds lines
+// for new samples; it never changes an existing line (CONTRIBUTING.md).
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -24,7 +24,7 @@
 namespace martenwall::wire {
 namespace {
 
-// ---- numbers that travel or are stored as numbers ----
+// ---- numeric values on the wire and in stored data ----
 
 template <class Enum>
 constexpr bool is_number(Enum value, int number) {
@@ -41,7 +41,7 @@
 static_assert(is_number(PeerVerb::heartbeats, 9));
 static_assert(is_number(PeerVerb::configuration, 10));
 
-// As PeerStatus says it; `waiting` is this process's own and is told as `pending`.
+// Values of PeerStatus; `waiting` is local to the process and is reported as `pending`.
 static_assert(is_number(JobPhase::pending, 0));
 static_assert(is_number(JobPhase::running, 1));
 static_assert(is_number(JobPhase::done, 2));
@@ -53,7 +53,7 @@
 static_assert(is_number(HeartbeatResponse::Kind::released, 2));
 static_assert(is_number(HeartbeatResponse::Kind::deferred, 3));
 
-// In batches of reports.
+// In heartbeat batches.
 static_assert(is_number(TaskState::planned, 0));
 static_assert(is_number(TaskState::sent, 1));
 static_assert(is_number(TaskState::fetching, 2));
@@ -76,13 +76,13 @@
 static_assert(is_number(Command::Verb::stop, 1));
 static_assert(is_number(Command::Verb::forget, 2));
 
-// In rows of tasks.
+// In task rows.
 static_assert(is_number(Priority::best_effort, 0));
 static_assert(is_number(Priority::normal, 1));
 static_assert(is_number(Priority::high, 2));
 static_assert(is_number(Priority::production, 3));
 
-// Places in tables of names.
+// Indices into name tables.
 static_assert(is_number(JobKind::array, 0));
 static_assert(is_number(JobKind::gang, 1));
 static_assert(is_number(JobKind::service, 2));
@@ -131,7 +131,7 @@
   return s;
 }
 
-JobSpec spec_with_needed_fields() {
+JobSpec spec_with_required_fields() {
   JobSpec s = spec_with_all_fields();
   s.types.reset();
   s.zone.reset();
@@ -140,20 +140,20 @@
   return s;
 }
 
-JobSpec spec_of_shape(int number) {
-  JobSpec s = spec_with_needed_fields();
+JobSpec spec_of_kind(int number) {
+  JobSpec s = spec_with_required_fields();
   s.kind = static_cast<JobKind>(number);
   return s;
 }
 
-JobSpec spec_of_rank(int number) {
-  JobSpec s = spec_with_needed_fields();
+JobSpec spec_of_priority(int number) {
+  JobSpec s = spec_with_required_fields();
   s.priority = static_cast<Priority>(number);
   return s;
 }
 
-JobSpec spec_that_awaits_jobs() {
-  JobSpec s = spec_with_needed_fields();
+JobSpec spec_with_dependencies() {
+  JobSpec s = spec_with_required_fields();
   s.dependencies = {JobId{"job-000398"}, JobId{"job-000399"}};
   return s;
 }
@@ -165,7 +165,7 @@
   return job;
 }
 
-TaskRow tasks_of_a_running_job() {
+TaskRow task_row_of_running_job() {
   TaskRow row;
   row.job = job_id();
   row.first = 232;
@@ -180,7 +180,7 @@
   return row;
 }
 
-TaskRow tasks_of_which_none_began() {
+TaskRow task_row_without_started_tasks() {
   TaskRow row;
   row.job = job_id();
   row.size = 5;
@@ -190,8 +190,8 @@
   return row;
 }
 
-TaskRow tasks_by_number() {
-  TaskRow row = tasks_of_a_running_job();
+TaskRow v1_task_row() {
+  TaskRow row = task_row_of_running_job();
   row.is_v1 = true;
   return row;
 }
@@ -203,15 +203,15 @@
       {MachineId{"i-000233"}, 4, "", "c4", "b", false, Incarnation{1}, {}}};
 }
 
-std::vector<Command> orders_of_each_verb() {
+std::vector<Command> commands_of_each_verb() {
   return {{Command::Verb::start, TaskId{job_id(), 3}, Attempt{2}, 0},
           {Command::Verb::stop, TaskId{job_id(), 4}, Attempt{3}, 4.5},
           {Command::Verb::stop, TaskId{job_id(), 5}, Attempt{1}, 0},
           {Command::Verb::forget, TaskId{JobId{"job-000398"}, 0}, Attempt{1}, 0}};
 }
 
-// Each state that a worker reports, and each cause of an end.
-Heartbeat report_of_each_state_and_cause() {
+// A heartbeat with each task state that a worker reports and each exit cause.
+Heartbeat heartbeat_with_each_state_and_cause() {
   Heartbeat r;
   r.machine = MachineId{"i-000231"};
   r.addr = "10.1.0.232:9000";
@@ -233,7 +233,7 @@
   return r;
 }
 
-Heartbeat report_without_tasks() {
+Heartbeat heartbeat_without_tasks() {
   Heartbeat r;
   r.machine = MachineId{"i-000232"};
   r.type = "c4";
@@ -241,8 +241,8 @@
   return r;
 }
 
-// The same in the workers' own terms.
-constexpr const char* worker_text_of_each_state_and_cause =
+// The same heartbeat in the worker protocol's terms.
+constexpr const char* worker_text_with_each_state_and_cause =
     R"({"host":"i-000231","endpoint":"10.1.0.232:9000","breed":"g8","yard":"a","loaners":true,"tenure":1,"tick":88,
      "baton":41,"recallS":90.5,"shards":[
      {"shard":"job-000412/0","try":2,"phase":"fetching"},{"shard":"job-000412/1","try":2,"phase":"gathering"},
@@ -260,18 +260,20 @@
 constexpr const char* worker_text_without_optional_fields =
     R"({"host":"i-000232","breed":"c4","yard":"b","tenure":0,"tick":0,"recallS":null})";
 
-NodeCapacity node_room() { return {"stall-1", 420, 1000}; }
+NodeCapacity node_capacity() { return {"stall-1", 420, 1000}; }
 
-HeartbeatBatch batch_of_reports() { return {node_room(), {report_of_each_state_and_cause(), report_without_tasks()}}; }
+HeartbeatBatch heartbeat_batch() {
+  return {node_capacity(), {heartbeat_with_each_state_and_cause(), heartbeat_without_tasks()}};
+}
 
-HeartbeatResponses answers_of_each_kind() {
+HeartbeatResponses responses_of_each_kind() {
   return {FencingToken{41},
-          {{HeartbeatResponse::Kind::commands, orders_of_each_verb()},
+          {{HeartbeatResponse::Kind::commands, commands_of_each_verb()},
            {HeartbeatResponse::Kind::commands, {}},
            {HeartbeatResponse::Kind::misdirected, {}},
            {HeartbeatResponse::Kind::released, {}},
            {HeartbeatResponse::Kind::deferred, {}}},
-          {node_room(), {"stall-2", 0, 70000}}};
+          {node_capacity(), {"stall-2", 0, 70000}}};
 }
 
 ConfigurationRow configuration_in_force() {
@@ -322,83 +324,85 @@
   return out;
 }
 
-// Of recorded key and bytes what their decoder makes, encoded again.
-using WrittenAgain = std::function<std::string(const std::string& key, const std::string& bytes)>;
+// Decodes the recorded key and bytes and encodes the result again.
+using Reencode = std::function<std::string(const std::string& key, const std::string& bytes)>;
 
 struct Sample {
   std::string name;
-  std::string key;    // where it is a row of the store
-  std::string bytes;  // hex where they are no text
-  WrittenAgain written_again{};
+  std::string key;    // empty unless the sample is a row of the store
+  std::string bytes;  // hex if they are not text
+  Reencode reencode{};
 };
 
 constexpr const char* unreadable = "cannot be read";
 
 template <class Decoded, class Encode>
-std::string again(const std::optional<Decoded>& decoded, const Encode& encode) {
+std::string reencode_decoded(const std::optional<Decoded>& decoded, const Encode& encode) {
   return decoded ? encode(*decoded) : std::string{unreadable};
 }
 
 JobId job_of_final_key(const std::string& key) { return JobId{key.substr(2)}; }
 
-std::string job_row_again(const std::string&, const std::string& bytes) {
-  return again(decode_job_row(json::parse(bytes), Time{}, 0), [](const Job& j) { return encode_job_row(j).dump(); });
+std::string reencode_job_row(const std::string&, const std::string& bytes) {
+  return reencode_decoded(decode_job_row(json::parse(bytes), Time{}, 0),
+                          [](const Job& j) { return encode_job_row(j).dump(); });
 }
 
-std::string tasks_again(const std::string& key, const std::string& bytes) {
-  return again(decode_tasks(key, json::parse(bytes)), [&](const TaskRow& r) {
-    return tasks_key(r.job, r.first) == key ? encode_tasks(r).dump() : "another key";
+std::string reencode_tasks(const std::string& key, const std::string& bytes) {
+  return reencode_decoded(decode_tasks(key, json::parse(bytes)), [&](const TaskRow& r) {
+    return tasks_key(r.job, r.first) == key ? encode_tasks(r).dump() : "key mismatch";
   });
 }
 
-std::string legacy_tasks_again(const std::string& key, const std::string& bytes) {
-  return again(decode_v1_tasks(key, json::parse(bytes), v1_row_size), [&](const TaskRow& r) {
-    return v1_tasks_key(r.job, r.first / v1_row_size) == key ? encode_tasks(r).dump() : "another key";
+std::string reencode_v1_tasks(const std::string& key, const std::string& bytes) {
+  return reencode_decoded(decode_v1_tasks(key, json::parse(bytes), v1_row_size), [&](const TaskRow& r) {
+    return v1_tasks_key(r.job, r.first / v1_row_size) == key ? encode_tasks(r).dump() : "key mismatch";
   });
 }
 
-std::string final_again(const std::string& key, const std::string& bytes) {
-  return again(decode_final(job_of_final_key(key), json::parse(bytes)),
-               [&](const FinalJob& f) { return final_key(f.id) == key ? encode_final(f).dump() : "another key"; });
+std::string reencode_final(const std::string& key, const std::string& bytes) {
+  return reencode_decoded(decode_final(job_of_final_key(key), json::parse(bytes)), [&](const FinalJob& f) {
+    return final_key(f.id) == key ? encode_final(f).dump() : "key mismatch";
+  });
 }
 
-std::string machines_again(const std::string& key, const std::string& bytes) {
+std::string reencode_machines(const std::string& key, const std::string& bytes) {
   const auto facts = decode_machines(key, json::parse(bytes));
   for (const auto& f : facts) {
-    if (machines_key(f.group) != key) return "another key";
+    if (machines_key(f.group) != key) return "key mismatch";
   }
   return encode_machines(facts).dump();
 }
 
-std::string note_again(const std::string&, const std::string& bytes) {
-  const auto note = json::parse(bytes);
-  return encode_inbox_entry(text(note, "node").value_or(""), requests_cancellation(note)).dump();
+std::string reencode_inbox_entry(const std::string&, const std::string& bytes) {
+  const auto entry = json::parse(bytes);
+  return encode_inbox_entry(text(entry, "node").value_or(""), requests_cancellation(entry)).dump();
 }
 
-std::string request_frame_again(const std::string&, const std::string& hex) {
+std::string reencode_request_frame(const std::string&, const std::string& hex) {
   const std::string frame = bytes_of(hex);
-  if (frame_size(frame) != frame.size() - 4) return "another size";
-  return again(decode_request(std::string_view{frame}.substr(4)),
-               [](const PeerRequest& r) { return hex_of(encode_frame(r)); });
+  if (frame_size(frame) != frame.size() - 4) return "frame size mismatch";
+  return reencode_decoded(decode_request(std::string_view{frame}.substr(4)),
+                          [](const PeerRequest& r) { return hex_of(encode_frame(r)); });
 }
 
-std::string reply_frame_again(const std::string&, const std::string& hex) {
+std::string reencode_reply_frame(const std::string&, const std::string& hex) {
   const std::string frame = bytes_of(hex);
-  if (frame_size(frame) != frame.size() - 4) return "another size";
-  return again(decode_reply(std::string_view{frame}.substr(4)),
-               [](const PeerReply& r) { return hex_of(encode_frame(r)); });
+  if (frame_size(frame) != frame.size() - 4) return "frame size mismatch";
+  return reencode_decoded(decode_reply(std::string_view{frame}.substr(4)),
+                          [](const PeerReply& r) { return hex_of(encode_frame(r)); });
 }
 
-std::string batch_again(const std::string&, const std::string& hex) {
-  return again(decode_batch(bytes_of(hex)), [](const HeartbeatBatch& b) { return hex_of(encode_batch(b)); });
+std::string reencode_batch(const std::string&, const std::string& hex) {
+  return reencode_decoded(decode_batch(bytes_of(hex)), [](const HeartbeatBatch& b) { return hex_of(encode_batch(b)); });
 }
 
-std::string answers_again(const std::string&, const std::string& hex) {
-  return again(decode_responses(bytes_of(hex)),
-               [](const HeartbeatResponses& a) { return hex_of(encode_responses(a)); });
+std::string reencode_responses(const std::string&, const std::string& hex) {
+  return reencode_decoded(decode_responses(bytes_of(hex)),
+                          [](const HeartbeatResponses& a) { return hex_of(encode_responses(a)); });
 }
 
-std::string job_again(const std::string&, const std::string& bytes) {
+std::string reencode_job(const std::string&, const std::string& bytes) {
   const auto parsed = parse_job(bytes);
   return parsed.has_value() ? encode_job(*parsed).dump() : unreadable;
 }
@@ -407,24 +411,24 @@
   std::vector<Sample> out;
   const auto add = [&](const std::string& name, const JobSpec& spec) {
     out.push_back({"job_row_" + name, job_key(spec.id, !spec.dependencies.empty()), encode_job_row(job_of(spec)).dump(),
-                   job_row_again});
+                   reencode_job_row});
   };
   add("with_all_fields", spec_with_all_fields());
-  add("with_needed_fields", spec_with_needed_fields());
-  add("that_awaits_jobs", spec_that_awaits_jobs());
-  for (int n = 0; n < 3; ++n) add("of_shape_" + std::to_string(n), spec_of_shape(n));
-  for (int n = 0; n < 4; ++n) add("of_rank_" + std::to_string(n), spec_of_rank(n));
-  constexpr std::size_t piece_bytes = 200;
+  add("with_needed_fields", spec_with_required_fields());
+  add("that_awaits_jobs", spec_with_dependencies());
+  for (int n = 0; n < 3; ++n) add("of_shape_" + std::to_string(n), spec_of_kind(n));
+  for (int n = 0; n < 4; ++n) add("of_rank_" + std::to_string(n), spec_of_priority(n));
+  constexpr std::size_t max_chunk_bytes = 200;
   std::size_t n = 0;
-  for (const auto& piece : encode_chunks(encode_job_row(job_of(spec_that_awaits_jobs())), piece_bytes)) {
-    out.push_back({"piece_of_a_job_row_" + std::to_string(n), chunk_key(job_id(), "77", n), piece.dump()});
+  for (const auto& chunk : encode_chunks(encode_job_row(job_of(spec_with_dependencies())), max_chunk_bytes)) {
+    out.push_back({"piece_of_a_job_row_" + std::to_string(n), chunk_key(job_id(), "77", n), chunk.dump()});
     ++n;
   }
   for (const bool chained : {false, true}) {
     out.push_back({chained ? "piece_names_of_a_chained_job" : "piece_names", job_key(job_id(), chained),
                    encode_chunk_manifest({"77", n}).dump(), [](const auto&, const std::string& bytes) {
-                     return again(decode_chunk_manifest(json::parse(bytes)),
-                                  [](const ChunkManifest& p) { return encode_chunk_manifest(p).dump(); });
+                     return reencode_decoded(decode_chunk_manifest(json::parse(bytes)),
+                                             [](const ChunkManifest& p) { return encode_chunk_manifest(p).dump(); });
                    }});
   }
   return out;
@@ -432,58 +436,60 @@
 
 std::vector<Sample> samples_of_task_rows() {
   const auto key = [](RowKind kind, std::uint32_t part) { return key_of({kind, job_id().value(), part}); };
-  return {
-      {"tasks_of_a_running_job", key(RowKind::tasks, 232), encode_tasks(tasks_of_a_running_job()).dump(), tasks_again},
-      {"tasks_of_which_none_began", key(RowKind::tasks, 0), encode_tasks(tasks_of_which_none_began()).dump(),
-       tasks_again},
-      {"tasks_by_number", key(RowKind::tasks_v1, 2), encode_tasks(tasks_by_number()).dump(), legacy_tasks_again},
-      {"final_done", key(RowKind::final_job, 0), encode_final({job_id(), JobPhase::done, 16, 16}).dump(), final_again},
-      {"final_cancelled", key(RowKind::final_job, 0), encode_final({job_id(), JobPhase::cancelled, 16, 3}).dump(),
-       final_again},
-      {"machines_with_images", key_of({RowKind::machines, "", 4}), encode_machines(machines_with_images()).dump(),
-       machines_again},
-      {"machines_none", machines_key(0), encode_machines({}).dump(), machines_again}};
+  return {{"tasks_of_a_running_job", key(RowKind::tasks, 232), encode_tasks(task_row_of_running_job()).dump(),
+           reencode_tasks},
+          {"tasks_of_which_none_began", key(RowKind::tasks, 0), encode_tasks(task_row_without_started_tasks()).dump(),
+           reencode_tasks},
+          {"tasks_by_number", key(RowKind::tasks_v1, 2), encode_tasks(v1_task_row()).dump(), reencode_v1_tasks},
+          {"final_done", key(RowKind::final_job, 0), encode_final({job_id(), JobPhase::done, 16, 16}).dump(),
+           reencode_final},
+          {"final_cancelled", key(RowKind::final_job, 0), encode_final({job_id(), JobPhase::cancelled, 16, 3}).dump(),
+           reencode_final},
+          {"machines_with_images", key_of({RowKind::machines, "", 4}), encode_machines(machines_with_images()).dump(),
+           reencode_machines},
+          {"machines_none", machines_key(0), encode_machines({}).dump(), reencode_machines}};
 }
 
 std::vector<Sample> samples_of_single_rows() {
   return {
-      {"note_of_a_job", inbox_key(job_id()), encode_inbox_entry("stall-1", false).dump(), note_again},
-      {"note_of_a_cancellation", inbox_key(job_id()), encode_inbox_entry("stall-1", true).dump(), note_again},
+      {"note_of_a_job", inbox_key(job_id()), encode_inbox_entry("stall-1", false).dump(), reencode_inbox_entry},
+      {"note_of_a_cancellation", inbox_key(job_id()), encode_inbox_entry("stall-1", true).dump(), reencode_inbox_entry},
       {"note_of_reach", stranded_workers_key("stall-1"), encode_stranded_workers(12).dump(),
        [](const std::string& key, const std::string& bytes) {
-         if (!is_stranded_workers_key(key)) return std::string{"another key"};
-         return again(decode_stranded_workers(json::parse(bytes)),
-                      [](std::size_t n) { return encode_stranded_workers(n).dump(); });
+         if (!is_stranded_workers_key(key)) return std::string{"key mismatch"};
+         return reencode_decoded(decode_stranded_workers(json::parse(bytes)),
+                                 [](std::size_t n) { return encode_stranded_workers(n).dump(); });
        }},
       {"leader", leader_key, encode_leader({"stall-1", "77"}).dump(),
        [](const auto&, const std::string& bytes) { return encode_leader(decode_leader(json::parse(bytes))).dump(); }},
       {"reign", leadership_record_key, encode_leadership_record(seconds(16)).dump(),
        [](const auto&, const std::string& bytes) {
-         return again(decode_leadership_record(json::parse(bytes)),
-                      [](Duration d) { return encode_leadership_record(d).dump(); });
+         return reencode_decoded(decode_leadership_record(json::parse(bytes)),
+                                 [](Duration d) { return encode_leadership_record(d).dump(); });
        }},
       {"level", format_version_key, encode_format_version({2, v1_row_size}).dump(),
        [](const auto&, const std::string& bytes) {
-         return again(decode_format_version(json::parse(bytes)),
-                      [](const FormatVersionRow& r) { return encode_format_version(r).dump(); });
+         return reencode_decoded(decode_format_version(json::parse(bytes)),
+                                 [](const FormatVersionRow& r) { return encode_format_version(r).dump(); });
        }},
       {"level_of_a_node", node_format_version_key("stall-1"), encode_node_format_version("1.4.0").dump()},
       {"machine_types", types_key, encode_types(two_machine_types()), [](const auto&, const std::string& bytes) {
-         return again(parse_types(bytes), [](const auto& types) { return encode_types(types); });
+         return reencode_decoded(parse_types(bytes), [](const auto& types) { return encode_types(types); });
        }}};
 }
 
 std::vector<Sample> samples_of_configuration() {
   std::vector<Sample> out{{"configuration", configuration_key, encode_configuration(configuration_in_force()).dump(),
                            [](const auto&, const std::string& bytes) {
-                             return again(decode_configuration(json::parse(bytes)),
-                                          [](const ConfigurationRow& r) { return encode_configuration(r).dump(); });
+                             return reencode_decoded(
+                                 decode_configuration(json::parse(bytes)),
+                                 [](const ConfigurationRow& r) { return encode_configuration(r).dump(); });
                            }},
                           {"configuration_changes", changes_key(ConfigurationVersion{12}),
                            encode_changes(changes_of_one_transaction()).dump(),
                            [](const auto&, const std::string& bytes) {
-                             return again(decode_changes(json::parse(bytes)),
-                                          [](const ChangesRow& r) { return encode_changes(r).dump(); });
+                             return reencode_decoded(decode_changes(json::parse(bytes)),
+                                                     [](const ChangesRow& r) { return encode_changes(r).dump(); });
                            }},
                           {"configuration_prefix_of_changes", changes_prefix, changes_prefix},
                           {"configuration_teams", "", config::teams_document(two_teams()).dump(),
@@ -499,7 +505,7 @@
   for (const auto& [name, request] : requests) {
     out.push_back({"configuration_request_" + name, "", encode_configuration_request(request),
                    [](const auto&, const std::string& bytes) {
-                     return again(decode_configuration_request(bytes), encode_configuration_request);
+                     return reencode_decoded(decode_configuration_request(bytes), encode_configuration_request);
                    }});
   }
   const std::map<std::string, ConfigurationState> states{{"unknown", ConfigurationState::unknown},
@@ -523,7 +529,7 @@
       {"key_just_before_a_final_row", final_key_cursor_before(job_id()), final_key_cursor_before(job_id())}};
 }
 
-// What the store and the cloud say, as it was understood.
+// Renders parsed responses of the store and the cloud as text.
 std::string text_of(const StorePage& page) {
   std::ostringstream out;
   out << page.revision.value() << (page.more ? " more" : " all");
@@ -549,45 +555,45 @@
   return out;
 }
 
-std::vector<Sample> samples_of_what_the_store_and_the_cloud_say() {
+std::vector<Sample> samples_of_store_and_cloud_responses() {
   const auto item = parse_item(R"({"path":"lead","stamp":7,"data":{"node":"stall-1"}})");
   const auto page = parse_page(R"({"epoch":41,"more":true,"rows":[{"path":"lead","stamp":7,"data":{"node":"a"}}]})");
   const auto events = parse_events(
       R"({"epoch":42,"events":[{"set":"i/job-1","stamp":8,"data":{"node":"a"}},{"remove":"j/job-1","stamp":9}]})");
   const auto revision = parse_revision(R"({"epoch":43})");
   const auto lease = parse_lease(R"({"tether":9})");
-  const auto hired = parse_scale_out_response(R"({"hosts":["i-000231","i-000232"]})");
+  const auto new_machines = parse_scale_out_response(R"({"hosts":["i-000231","i-000232"]})");
   const auto machines = parse_machines(
       R"({"more":true,"hosts":[{"ref":"i-1","endpoint":"10.1.0.1:9000","breed":"g8","yard":"a","loaners":true,
        "ageS":12.5,"phase":"running"},{"ref":"i-2","phase":"starting"},{"ref":"i-3","phase":"failed"}]})");
-  std::vector<std::string> hired_names;
-  if (hired) {
-    for (const auto& id : *hired) hired_names.push_back(id.value());
+  std::vector<std::string> machine_ids;
+  if (new_machines) {
+    for (const auto& id : *new_machines) machine_ids.push_back(id.value());
   }
   return {{"read_item", "", item ? item->key + " " + std::to_string(item->version.value()) + item->value.dump() : ""},
           {"read_page", "", page ? text_of(*page) : ""},
           {"read_events", "", events ? text_of(*events) : ""},
           {"read_revision", "", revision ? std::to_string(revision->value()) : ""},
           {"read_lease", "", lease ? std::to_string(lease->value()) : ""},
-          {"read_hired", "", text_of(hired_names)},
+          {"read_hired", "", text_of(machine_ids)},
           {"read_machines", "", machines ? text_of(*machines) : ""}};
 }
 
 std::vector<Sample> samples_of_peer_requests() {
   std::vector<Sample> out;
   const auto add = [&](const std::string& name, const PeerRequest& request) {
-    out.push_back({"peer_request_" + name, "", hex_of(encode_frame(request)), request_frame_again});
+    out.push_back({"peer_request_" + name, "", hex_of(encode_frame(request)), reencode_request_frame});
   };
   const std::string job = encode_job(spec_with_all_fields()).dump();
-  const std::string chained_job = encode_job(spec_that_awaits_jobs()).dump();
+  const std::string dependent_job = encode_job(spec_with_dependencies()).dump();
   add("submit", {PeerVerb::submit, job_id().value(), job, {}});
   add("cancel", {PeerVerb::cancel, job_id().value(), "", {}});
   add("statuses", {PeerVerb::statuses, "", "", {"job-000412", "job-000398"}});
   add("ping", {PeerVerb::ping, "", "", {}});
   add("stranded", {PeerVerb::stranded, "stall-1", "12", {}});
   add("cloud", {PeerVerb::cloud, "POST /hosts", encode_release({MachineId{"i-000231"}}), {}});
-  add("submit_chained", {PeerVerb::submit_dependent, job_id().value(), chained_job, {}});
-  add("reports", {PeerVerb::heartbeats, "stall-1", encode_batch(batch_of_reports()), {}});
+  add("submit_chained", {PeerVerb::submit_dependent, job_id().value(), dependent_job, {}});
+  add("reports", {PeerVerb::heartbeats, "stall-1", encode_batch(heartbeat_batch()), {}});
   add("configuration", {PeerVerb::configuration, "", encode_configuration_request(request_to_apply()), {}});
   return out;
 }
@@ -595,7 +601,7 @@
 std::vector<Sample> samples_of_peer_replies() {
   std::vector<Sample> out;
   const auto add = [&](const std::string& name, const PeerReply& reply) {
-    out.push_back({"peer_reply_" + name, "", hex_of(encode_frame(reply)), reply_frame_again});
+    out.push_back({"peer_reply_" + name, "", hex_of(encode_frame(reply)), reencode_reply_frame});
   };
   add("accepted", {201, encode_status({job_id(), JobPhase::pending, 0, 0}), {}});
   add("cancelled", {200, encode_status({job_id(), JobPhase::cancelled, 3, 0}), {}});
@@ -611,28 +617,28 @@
   add("ping_of_a_leader", {200, std::string{accepts_heartbeats}, {}});
   add("ping_of_another", {200, std::string{forwards_heartbeats}, {}});
   add("ping_of_one_that_is_cut_off", {503, std::string{forwards_heartbeats}, {}});
-  add("reports", {200, encode_responses(answers_of_each_kind()), {}});
+  add("reports", {200, encode_responses(responses_of_each_kind()), {}});
   return out;
 }
 
-std::vector<Sample> samples_of_reports() {
+std::vector<Sample> samples_of_heartbeats() {
   const auto as_read = [](const char* worker_text) {
-    return again(parse_heartbeat(worker_text), [](const Heartbeat& r) {
-      return hex_of(encode_batch({node_room(), {r}}));
+    return reencode_decoded(parse_heartbeat(worker_text), [](const Heartbeat& r) {
+      return hex_of(encode_batch({node_capacity(), {r}}));
     });
   };
-  return {{"reports_batch", "", hex_of(encode_batch(batch_of_reports())), batch_again},
-          {"reports_batch_empty", "", hex_of(encode_batch({node_room(), {}})), batch_again},
-          {"reports_answers", "", hex_of(encode_responses(answers_of_each_kind())), answers_again},
-          {"reports_answers_empty", "", hex_of(encode_responses({FencingToken{0}, {}, {}})), answers_again},
-          {"worker_report_of_each_state_and_cause", "", as_read(worker_text_of_each_state_and_cause), batch_again},
-          {"worker_report_without_optional_fields", "", as_read(worker_text_without_optional_fields), batch_again}};
+  return {{"reports_batch", "", hex_of(encode_batch(heartbeat_batch())), reencode_batch},
+          {"reports_batch_empty", "", hex_of(encode_batch({node_capacity(), {}})), reencode_batch},
+          {"reports_answers", "", hex_of(encode_responses(responses_of_each_kind())), reencode_responses},
+          {"reports_answers_empty", "", hex_of(encode_responses({FencingToken{0}, {}, {}})), reencode_responses},
+          {"worker_report_of_each_state_and_cause", "", as_read(worker_text_with_each_state_and_cause), reencode_batch},
+          {"worker_report_without_optional_fields", "", as_read(worker_text_without_optional_fields), reencode_batch}};
 }
 
 std::vector<Sample> samples_for_workers() {
-  return {{"worker_answer", "", encode_heartbeat_response(FencingToken{41}, orders_of_each_verb())},
+  return {{"worker_answer", "", encode_heartbeat_response(FencingToken{41}, commands_of_each_verb())},
           {"worker_answer_without_orders", "", encode_heartbeat_response(FencingToken{41}, {})},
-          {"worker_commands", "", encode_command_batch(FencingToken{41}, Incarnation{2}, orders_of_each_verb())},
+          {"worker_commands", "", encode_command_batch(FencingToken{41}, Incarnation{2}, commands_of_each_verb())},
           {"worker_misdirected", "", encode_redirect("10.1.0.3:8080")},
           {"worker_misdirected_without_a_leader", "", encode_redirect("")}};
 }
@@ -643,13 +649,13 @@
           {"cloud_release_none", "", encode_release({})}};
 }
 
-std::string why_refused(const json& job) {
+std::string rejection_of(const json& job) {
   const auto parsed = parse_job(job);
   return parsed.has_value() ? "taken" : encode_error(parsed.error().message);
 }
 
-// Why a job waits, as the core words it for its user.
-std::string reason_of(const std::string& team, double gpus) {
+// Returns the encoded status, which includes the reason for which the core lets the job wait.
+std::string wait_reason_of(const std::string& team, double gpus) {
   Scheduler::Options options;
   options.teams = {{"vision", {0, 4, 0}, {0, 8, 0}}};
   options.timings = {3, 19, 50, 4, 39};
@@ -657,7 +663,7 @@
   options.v1_row_size = 9;
   options.range_size = 8;
   Scheduler scheduler{options, [](const std::string&) {}};
-  Job job = job_of(spec_with_needed_fields());
+  Job job = job_of(spec_with_required_fields());
   job.spec.team = team;
   job.spec.kind = JobKind::array;
   job.spec.need = {1, gpus, 1};
@@ -668,32 +674,32 @@
 
 std::vector<Sample> samples_for_users() {
   std::vector<Sample> out{
-      {"user_job", "", encode_job(spec_with_all_fields()).dump(), job_again},
-      {"user_job_that_awaits_jobs", "", encode_job(spec_that_awaits_jobs()).dump(), job_again},
+      {"user_job", "", encode_job(spec_with_all_fields()).dump(), reencode_job},
+      {"user_job_that_awaits_jobs", "", encode_job(spec_with_dependencies()).dump(), reencode_job},
       {"user_status_that_waits", "", encode_status({job_id(), JobPhase::pending, 0, 0, "why \"it\" waits"})},
       {"user_error", "", encode_error("why \"it\" failed")},
       {"user_reasons_none", "", encode_reasons({})},
       {"user_reasons", "", encode_reasons({{job_id(), "why"}, {JobId{"job-000398"}, "why not"}}),
        [](const auto&, const std::string& bytes) { return encode_reasons(parse_reasons(bytes)); }},
-      {"user_reason_team_not_configured", "", reason_of("unheard of", 1)},
-      {"user_reason_more_than_the_limit", "", reason_of("vision", 9)},
-      {"user_reason_none", "", reason_of("vision", 1)},
-      {"user_refused_not_an_object", "", why_refused(json::array())}};
+      {"user_reason_team_not_configured", "", wait_reason_of("unheard of", 1)},
+      {"user_reason_more_than_the_limit", "", wait_reason_of("vision", 9)},
+      {"user_reason_none", "", wait_reason_of("vision", 1)},
+      {"user_refused_not_an_object", "", rejection_of(json::array())}};
   for (int phase = 0; phase < 4; ++phase) {
     out.push_back({"user_status_of_phase_" + std::to_string(phase), "",
                    encode_status({job_id(), static_cast<JobPhase>(phase), 3, 70000})});
   }
-  const json job = encode_job(spec_with_needed_fields());
+  const json job = encode_job(spec_with_required_fields());
   for (const auto& [name, value] : job.items()) {
     json without = job;
     without.erase(name);
-    out.push_back({"user_refused_without_" + name, "", why_refused(without)});
+    out.push_back({"user_refused_without_" + name, "", rejection_of(without)});
   }
   for (const char* name : {"breeds", "yard", "dueS", "awaits"}) {
     json with = job;
     with[name] = 7;
     if (std::string_view{name} == "dueS") with[name] = "7";
-    out.push_back({std::string{"user_refused_for_ill_typed_"} + name, "", why_refused(with)});
+    out.push_back({std::string{"user_refused_for_ill_typed_"} + name, "", rejection_of(with)});
   }
   return out;
 }
@@ -702,8 +708,8 @@
   std::vector<Sample> out;
   for (const auto& samples :
        {samples_of_job_rows(), samples_of_task_rows(), samples_of_single_rows(), samples_of_configuration(),
-        samples_of_the_store_protocol(), samples_of_what_the_store_and_the_cloud_say(), samples_of_peer_requests(),
-        samples_of_peer_replies(), samples_of_reports(), samples_for_workers(), samples_for_the_cloud(),
+        samples_of_the_store_protocol(), samples_of_store_and_cloud_responses(), samples_of_peer_requests(),
+        samples_of_peer_replies(), samples_of_heartbeats(), samples_for_workers(), samples_for_the_cloud(),
         samples_for_users()}) {
     out.insert(out.end(), samples.begin(), samples.end());
   }
@@ -718,11 +724,11 @@
 
 std::string path() { return std::string{MARTENWALL_TEST_DATA} + "/stored_bytes.txt"; }
 
-// An empty field stands there as a dash.
+// An empty field is recorded as a dash.
 std::string to_field(const std::string& value) { return value.empty() ? "-" : value; }
 std::string from_field(const std::string& field) { return field == "-" ? "" : field; }
 
-std::map<std::string, Recorded> recorded() {
+std::map<std::string, Recorded> read_recorded() {
   std::map<std::string, Recorded> out;
   std::ifstream in{path()};
   for (std::string line; std::getline(in, line);) {
@@ -733,7 +739,7 @@
     std::getline(fields, r.key, '\t');
     std::getline(fields, r.bytes, '\t');
     const Recorded read{from_field(r.key), from_field(r.bytes)};
-    EXPECT_TRUE(out.emplace(name, read).second) << "twice: " << name;
+    EXPECT_TRUE(out.emplace(name, read).second) << "recorded twice: " << name;
   }
   return out;
 }
@@ -745,51 +751,51 @@
 
 TEST(stored_bytes, encoders_write_the_bytes_of_7edafbd) {
   const auto samples = all_samples();
-  const auto before = recorded();
+  const auto recorded = read_recorded();
   if (std::getenv("MARTENWALL_RECORD_BYTES") != nullptr) {
     std::ofstream out{path(), std::ios::app};
     for (const auto& s : samples) {
-      if (!before.contains(s.name)) out << s.name << '\t' << to_field(s.key) << '\t' << to_field(s.bytes) << '\n';
+      if (!recorded.contains(s.name)) out << s.name << '\t' << to_field(s.key) << '\t' << to_field(s.bytes) << '\n';
     }
-    GTEST_SKIP() << "lines added for samples that had none";
+    GTEST_SKIP() << "added lines for samples that were not recorded";
   }
-  EXPECT_EQ(before.size(), samples.size()) << "every recorded line has its sample";
+  EXPECT_EQ(recorded.size(), samples.size()) << "each recorded line needs a sample";
   for (const auto& s : samples) {
-    const auto line = before.find(s.name);
-    ASSERT_NE(before.end(), line) << "not recorded: " << s.name;
+    const auto line = recorded.find(s.name);
+    ASSERT_NE(recorded.end(), line) << "not recorded: " << s.name;
     EXPECT_EQ(line->second.key, s.key) << s.name;
     EXPECT_EQ(line->second.bytes, s.bytes) << s.name;
   }
 }
 
 TEST(stored_bytes, decoders_read_the_bytes_of_7edafbd) {
-  const auto before = recorded();
+  const auto recorded = read_recorded();
   std::size_t read = 0;
   for (const auto& s : all_samples()) {
-    if (!s.written_again) continue;
-    const auto line = before.find(s.name);
-    ASSERT_NE(before.end(), line) << "not recorded: " << s.name;
-    EXPECT_EQ(line->second.bytes, s.written_again(line->second.key, line->second.bytes)) << s.name;
+    if (!s.reencode) continue;
+    const auto line = recorded.find(s.name);
+    ASSERT_NE(recorded.end(), line) << "not recorded: " << s.name;
+    EXPECT_EQ(line->second.bytes, s.reencode(line->second.key, line->second.bytes)) << s.name;
     ++read;
   }
   EXPECT_GE(read, 50U);
 }
 
-// Found while these samples were recorded: of 7edafbd's parse_failed_keys nothing comes back.
+// Found while these samples were recorded: parse_failed_keys of 7edafbd returned no keys.
 TEST(stored_bytes, keys_of_failed_conditions_are_read) {
   EXPECT_EQ((std::vector<std::string>{"lead", "f/job-1"}), parse_failed_keys(R"({"failed":["lead","f/job-1"]})"));
 }
 
-// Pieces are read together.
+// Chunks are decoded together, not one by one.
 TEST(stored_bytes, chunks_of_7edafbd_make_the_row_that_they_were_cut_from) {
-  const auto before = recorded();
+  const auto recorded = read_recorded();
   std::vector<json> chunks;
-  for (std::size_t n = 0; before.contains("piece_of_a_job_row_" + std::to_string(n)); ++n) {
-    chunks.push_back(json::parse(before.at("piece_of_a_job_row_" + std::to_string(n)).bytes));
+  for (std::size_t n = 0; recorded.contains("piece_of_a_job_row_" + std::to_string(n)); ++n) {
+    chunks.push_back(json::parse(recorded.at("piece_of_a_job_row_" + std::to_string(n)).bytes));
   }
   ASSERT_GE(chunks.size(), 3U);
-  ASSERT_TRUE(before.contains("job_row_that_awaits_jobs"));
-  EXPECT_EQ(before.at("job_row_that_awaits_jobs").bytes, join_chunks(chunks).dump());
+  ASSERT_TRUE(recorded.contains("job_row_that_awaits_jobs"));
+  EXPECT_EQ(recorded.at("job_row_that_awaits_jobs").bytes, join_chunks(chunks).dump());
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -78,11 +78,11 @@
   Job job;
   job.spec = any_spec();
   job.submitted_wall_ms = 1'790'000'000'000;
-  const auto back =
+  const auto decoded =
       decode_job_row(json::parse(encode_job_row(job).dump()), Time{seconds(100)}, job.submitted_wall_ms + 5000);
-  RC_ASSERT(back.has_value());
-  RC_ASSERT(encode_job(back->spec) == encode_job(job.spec));
-  RC_ASSERT(back->submitted == Time{seconds(95)});
+  RC_ASSERT(decoded.has_value());
+  RC_ASSERT(encode_job(decoded->spec) == encode_job(job.spec));
+  RC_ASSERT(decoded->submitted == Time{seconds(95)});
 }
 
 RC_GTEST_PROP(store_codec, a_task_row_survives_its_encoding,
@@ -101,16 +101,16 @@
   for (const auto i : placed) {
     row.placed.push_back({i, Attempt{i + 1U}, MachineId{"i-" + std::to_string(i)}, i % 2 == 0 ? "a" : "b"});
   }
-  const auto back = decode_tasks(tasks_key(row.job, row.first), json::parse(encode_tasks(row).dump()));
-  RC_ASSERT(back.has_value());
-  RC_ASSERT(back->job == row.job && back->first == 3U && back->size == 70000U && back->next_attempt == 17U &&
-            back->priority == Priority::high);
-  RC_ASSERT(back->done == row.done);
-  RC_ASSERT(back->placed.size() == row.placed.size());
-  for (const auto& h : back->placed) {
-    RC_ASSERT(placed.contains(static_cast<std::uint16_t>(h.index)));
-    RC_ASSERT(h.attempt.value() == h.index + 1U && h.machine.value() == "i-" + std::to_string(h.index));
-    RC_ASSERT(h.zone == (h.index % 2 == 0 ? "a" : "b"));
+  const auto decoded = decode_tasks(tasks_key(row.job, row.first), json::parse(encode_tasks(row).dump()));
+  RC_ASSERT(decoded.has_value());
+  RC_ASSERT(decoded->job == row.job && decoded->first == 3U && decoded->size == 70000U &&
+            decoded->next_attempt == 17U && decoded->priority == Priority::high);
+  RC_ASSERT(decoded->done == row.done);
+  RC_ASSERT(decoded->placed.size() == row.placed.size());
+  for (const auto& task : decoded->placed) {
+    RC_ASSERT(placed.contains(static_cast<std::uint16_t>(task.index)));
+    RC_ASSERT(task.attempt.value() == task.index + 1U && task.machine.value() == "i-" + std::to_string(task.index));
+    RC_ASSERT(task.zone == (task.index % 2 == 0 ? "a" : "b"));
   }
 }
 
@@ -122,16 +122,16 @@
   for (std::size_t i = 0; i < images.size(); ++i) {
     row[i / 3].images.emplace_back("img-" + std::to_string(images[i] % 5), 2.5);
   }
-  const auto back = decode_machines(machines_key(7), json::parse(encode_machines(row).dump()));
-  RC_ASSERT(back.size() == row.size());
+  const auto decoded = decode_machines(machines_key(7), json::parse(encode_machines(row).dump()));
+  RC_ASSERT(decoded.size() == row.size());
   for (std::size_t i = 0; i < row.size(); ++i) {
-    RC_ASSERT(back[i].id == row[i].id && back[i].group == 7U && back[i].incarnation == row[i].incarnation);
-    RC_ASSERT(back[i].images == row[i].images && back[i].spot == row[i].spot && back[i].zone == "a");
+    RC_ASSERT(decoded[i].id == row[i].id && decoded[i].group == 7U && decoded[i].incarnation == row[i].incarnation);
+    RC_ASSERT(decoded[i].images == row[i].images && decoded[i].spot == row[i].spot && decoded[i].zone == "a");
   }
 }
 
 TEST(store_codec, a_full_task_row_stays_small) {
-  // What the size of a row by number is computed with: 60 bytes for each index, 1,200 besides.
+  // The size of a v1 row is computed from these bounds: 60 bytes for each index, plus 1,200.
   TaskRow row;
   row.job = JobId{"job-" + std::string(110, 'x')};
   row.is_v1 = true;
@@ -147,9 +147,9 @@
 RC_GTEST_PROP(peer_codec, frames_survive, (const std::string& id, const std::string& body)) {
   const auto frame = encode_frame(PeerRequest{PeerVerb::cancel, id, body, {id, body}});
   RC_ASSERT(frame_size(frame) == frame.size() - 4);
-  const auto back = decode_request(std::string_view{frame}.substr(4));
-  RC_ASSERT(back && back->verb == PeerVerb::cancel && back->job == id && back->body == body);
-  RC_ASSERT(back->jobs.size() == 2U && back->jobs[1] == body);
+  const auto decoded = decode_request(std::string_view{frame}.substr(4));
+  RC_ASSERT(decoded && decoded->verb == PeerVerb::cancel && decoded->job == id && decoded->body == body);
+  RC_ASSERT(decoded->jobs.size() == 2U && decoded->jobs[1] == body);
   const auto answer = encode_frame(PeerReply{201, body, {{true, 2, 7, 9}, {}}});
   const auto reply = decode_reply(std::string_view{answer}.substr(4));
   RC_ASSERT(reply && reply->status == 201 && reply->body == body && reply->statuses.size() == 2U);
@@ -168,7 +168,7 @@
   EXPECT_FALSE(r->preemption_notice_s);
 }
 
-// A report of which one task cannot be read must not count as proof that the task is absent.
+// A heartbeat with one unreadable task must not count as proof that the task is absent.
 TEST(worker_codec, refuses_a_heartbeat_with_an_unreadable_task) {
   EXPECT_FALSE(parse_heartbeat(R"({"host":"i-1","breed":"g","yard":"a","tenure":1,"tick":1,"baton":1,
      "shards":[{"shard":"job-1/x","try":1,"phase":"running"}]})"));
--- a/tools/check_docs.py
+++ b/tools/check_docs.py
@@ -1,16 +1,16 @@
 #!/usr/bin/env python3
-"""Checks the pages: what they link to and name exists, and their lines are not too long.
+"""Checks the Markdown pages: links and named files exist, and lines are not too long.
 
     tools/check_docs.py [--root DIR]
 
-Of every *.md file that git knows or would take, outside journal/:
-- links to files resolve, and so does `#heading` behind a page's name;
-- a path in backticks that begins with a folder of the sources (src/, tests/, tools/, docs/, ...) exists; `*` matches;
-- lines are at most 120 columns wide, but for table rows, links and code that cannot be broken.
-In pages that tell where things are (architecture.md, CONTRIBUTING.md, safety.md) each `Class::function` in backticks
-has both its words in the sources. Pages of docs/incidents/ are records, like journal/: of them only links are checked.
+Checks each *.md file outside journal/ that git tracks or would add:
+- links to files resolve, including a `#heading` of a page;
+- a path in backticks that begins with a project folder (src/, tests/, tools/, docs/, ...) exists; `*` is a wildcard;
+- lines have at most 120 columns, except table rows and lines with a link or code span that cannot be wrapped.
+In pages that describe the code (architecture.md, CONTRIBUTING.md, safety.md), both names of each `Class::function` in
+backticks occur in the sources. Pages in docs/incidents/ are records, as in journal/: only their links are checked.
 
-Prints one line a fault; exit code 1 where there is one, 2 where the folder cannot be read.
+Prints one line per fault. Exit code 1 if there is a fault, 2 if the folder cannot be read.
 """
 import argparse
 import glob
@@ -49,7 +49,7 @@
 
 
 def prose(text):
-    """The lines outside fenced blocks, by number from 1."""
+    """Yields (line number, line) outside fenced blocks; numbers begin at 1."""
     fenced = False
     for number, line in enumerate(text.split("\n"), 1):
         if FENCE.match(line):
@@ -59,7 +59,7 @@
 
 
 def spans(text):
-    """What stands in backticks, also over the end of a line; (line number, content)."""
+    """Yields (line number, content) of each code span; a span may continue on the next line."""
     fenced = False
     paragraph, first = [], 1
     for number, line in enumerate(text.split("\n") + [""], 1):
@@ -80,7 +80,7 @@
 
 
 def anchor(heading):
-    """As GitHub makes it: lower case, no punctuation, hyphens for blanks."""
+    """Returns GitHub's anchor of a heading: lower case, no punctuation, hyphens for spaces."""
     return re.sub(r"[^\w\- ]", "", heading.strip().lower()).replace(" ", "-")
 
 
@@ -94,12 +94,12 @@
             if re.match(r"[a-z][a-z0-9+.-]*:", target):
                 continue
             path, _, heading = target.partition("#")
-            whole = (
+            resolved = (
                 os.path.normpath(os.path.join(root, os.path.dirname(name), path)) if path else os.path.join(root, name)
             )
-            if not os.path.exists(whole):
+            if not os.path.exists(resolved):
                 yield number, f"link to {target}: no such file"
-            elif heading and whole.endswith(".md") and heading not in anchors(read("", whole)):
+            elif heading and resolved.endswith(".md") and heading not in anchors(read("", resolved)):
                 yield number, f"link to {target}: no such heading"
 
 
@@ -128,11 +128,11 @@
 
 
 def breakable(line):
-    """Whether the line could end within its first columns: a blank there that is in no link and no code."""
-    kept = re.sub(r"`[^`]*`|\[[^\]]*\]\([^)]*\)", lambda m: "x" * len(m.group()), line)
+    """Returns whether the line can be wrapped: it has a space outside links and code spans."""
+    masked = re.sub(r"`[^`]*`|\[[^\]]*\]\([^)]*\)", lambda m: "x" * len(m.group()), line)
     indent = len(line) - len(line.lstrip(" "))
-    marker = re.match(r"(?:[-*]|\d+\.) ", kept[indent:])
-    text = kept[indent:].removeprefix(marker.group()) if marker else kept[indent:]
+    marker = re.match(r"(?:[-*]|\d+\.) ", masked[indent:])
+    text = masked[indent:].removeprefix(marker.group()) if marker else masked[indent:]
     return " " in text.rstrip()
 
 
@@ -156,7 +156,7 @@
             found += width_faults(text)
         if name in NAMING_PAGES:
             found += member_faults(text, words)
-        faults += [f"{name}:{number}: {what}" for number, what in sorted(found)]
+        faults += [f"{name}:{number}: {message}" for number, message in sorted(found)]
     return faults
 
 
--- a/tools/check_docs_test.py
+++ b/tools/check_docs_test.py
@@ -41,7 +41,7 @@
         self.assertEqual([], self.faults("[up](../docs/safety.md), [here](#own)\n\n# Own\n"))
         self.assertEqual(["docs/page.md:1: link to #other: no such heading"], self.faults("[here](#other)\n"))
 
-    def test_what_is_quoted_is_no_link(self):
+    def test_code_is_not_searched_for_links(self):
         self.assertEqual([], self.faults("`[b](gone.md)`\n\n```\n[b](gone.md)\n```\n"))
 
     def test_paths(self):
@@ -51,13 +51,13 @@
         self.assertEqual([], self.faults("`src/core/leader.*` `src/*/leader.hpp`, `q/src/x`, `src/core/leader.hpp`.\n"))
         self.assertEqual(["docs/page.md:1: `src/core/l*.cpp`: no such file"], self.faults("`src/core/l*.cpp`\n"))
 
-    def test_paths_within_a_command_and_over_the_end_of_a_line(self):
+    def test_paths_within_a_command_and_across_lines(self):
         self.assertEqual(
             ["docs/page.md:1: `tools/x.py`: no such file"], self.faults("`tools/x.py src/core/leader.hpp`\n")
         )
         self.assertEqual(["docs/page.md:1: `tools/x.py`: no such file"], self.faults("`run\ntools/x.py`\n"))
 
-    def test_members_on_pages_that_tell_where_things_are(self):
+    def test_members_on_pages_that_describe_the_code(self):
         page = "docs/architecture.md"
         self.assertEqual([], self.faults("`Leader::renew`, `Leader::renew()`\n", page))
         self.assertEqual(
@@ -68,13 +68,13 @@
             ["docs/architecture.md:1: `Chief::renew`: Chief not in the sources"], self.faults("`Chief::renew`\n", page)
         )
 
-    def test_a_word_of_a_comment_is_no_name_in_the_sources(self):
+    def test_words_of_comments_are_not_names_of_the_sources(self):
         self.assertEqual(
             ["CONTRIBUTING.md:1: `Leader::prolong`: prolong not in the sources"],
             self.faults("`Leader::prolong`\n", "CONTRIBUTING.md"),
         )
 
-    def test_other_pages_may_name_what_was(self):
+    def test_other_pages_may_name_removed_members(self):
         self.assertEqual([], self.faults("`Leader::resign`\n"))
 
     def test_width(self):
@@ -82,7 +82,7 @@
         self.assertEqual(["docs/page.md:1: 121 columns, at most 120"], self.faults("a" * 60 + " " + "b" * 60 + "\n"))
         self.assertEqual(["docs/page.md:2: 125 columns, at most 120"], self.faults("\n    " + "a " * 60 + "b\n"))
 
-    def test_what_cannot_be_broken_may_be_wide(self):
+    def test_lines_that_cannot_be_wrapped_may_be_wide(self):
         self.assertEqual([], self.faults("| " + "a " * 100 + "|\n"))
         self.assertEqual([], self.faults("- [" + "a " * 100 + "](safety.md)\n"))
         self.assertEqual([], self.faults("- `" + "a " * 100 + "`\n"))
@@ -94,7 +94,7 @@
             self.faults("[a](gone.md)\n", "docs/incidents/one.md"),
         )
 
-    def test_the_journal_is_left_alone(self):
+    def test_the_journal_is_not_checked(self):
         self.assertEqual([], self.faults("[a](gone.md)\n", "journal/one.md"))
 
     def test_exit_codes(self):
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -1,21 +1,22 @@
 #!/usr/bin/python3
-"""Plays a plan (TOML) with real controllers and stand-ins, all processes of this machine, in real time.
+"""Runs a plan (TOML) with real controllers and stand-ins in real time, all as processes on this machine.
 
     tools/scale_run.py PLAN.toml [--scale F] [--calm] [--build DIR] [--report FILE.json] [--plot FILE.png] [--logs DIR]
 
---scale: that factor on machines, teams (their number where they are `copies`, else their limits) and jobs (default
-1). --calm: none of the plan's events.
+--scale multiplies the machines, the teams (their number if the plan gives `copies`, otherwise their limits) and the
+jobs by F (default 1). --calm leaves out all events of the plan.
 
-A plan has one or more cells; each has controllers (the program of deploy/service.toml), a state service, and one
-process with its hollow workers, cloud, users and the judge of PROTOCOL's rules (`martenwall_stand_in`,
--DMARTENWALL_SCALE=ON). All speak over 127.0.0.1. The report tells, cell by cell: throughput, quantiles of start delay
-by class, processor time and memory of each process from the kernel's own count, bytes a worker, changes of the state
-service a start, and the rules broken. Exit code 0; 1 where a rule was broken, a controller ended by itself or jobs
-were left open; 2 for a plan or a machine that cannot play it. Ctrl-C ends all processes; when this program dies, they
-die with it.
+A plan has one or more cells. Each cell consists of controllers (the program of deploy/service.toml), a state service
+and one process with the hollow workers, the cloud, the users and the checker of PROTOCOL's rules
+(`martenwall_stand_in`, -DMARTENWALL_SCALE=ON). All processes communicate over 127.0.0.1. For each cell the report
+contains the throughput, quantiles of the start delay by class, CPU time and memory of each process as counted by the
+kernel, bytes per worker, changes of the state service per task start, and rule violations.
 
-A plan's [properties] go behind those of deploy/run.properties. Times in a plan are seconds from the first submission.
-See scale/plans/ for plans. Needs Debian's python3-numpy and, for --plot, python3-matplotlib.
+Exit code: 0 on success; 1 if a rule was violated, a controller exited unexpectedly or jobs remained open; 2 if the plan
+is invalid or cannot be run on this machine. Ctrl-C ends all processes; they are also killed if this program dies.
+
+A plan's [properties] override those of deploy/run.properties. Times in a plan are seconds from the first submission.
+Plans are in scale/plans/. Requires Debian's python3-numpy and, for --plot, python3-matplotlib.
 """
 import argparse
 import ctypes
@@ -39,12 +40,12 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 TICKS = os.sysconf("SC_CLK_TCK")
 PR_SET_PDEATHSIG = 1
-STARTS_WITHIN_S = 3  # a controller that was killed has read the configuration by then
-FIRST_PORT, PORT_BLOCKS, PORTS_A_RUN = 10000, 300, 64
+CONTROLLER_START_S = 3  # a restarted controller has read the configuration after this time
+FIRST_PORT, PORT_BLOCKS, PORTS_PER_RUN = 10000, 300, 64
 QUANTILES = (0.5, 0.9, 0.99)
-FIELD_EVENTS = ("cut_zone", "restart_workers", "limits")
-OWN_EVENTS = ("kill_leader", "kill_controller", "kill_all", "configure")
-# Either form of the line: a run may mix versions.
+STAND_IN_EVENTS = ("cut_zone", "restart_workers", "limits")
+RUNNER_EVENTS = ("kill_leader", "kill_controller", "kill_all", "configure")
+# Matches the log lines of both formats: a run may mix controller versions.
 IN_FORCE = re.compile(r"^(\S+) info configuration (?:version (\d+) in force|in force version=(\d+))")
 APPLIED = re.compile(r"^applied: version (\d+)")
 
@@ -58,12 +59,12 @@
 
 
 class Ports:
-    """Free ports of 127.0.0.1 below the range that the kernel draws from, so that no outgoing connection takes one.
-    A run holds the first port of its block, so that two runs at once take different blocks."""
+    """Allocates free ports of 127.0.0.1 below the kernel's ephemeral range, so that no outgoing connection uses one.
+    A run keeps the first port of its block bound, so that concurrent runs use different blocks."""
 
     def __init__(self):
         for block in range(PORT_BLOCKS):
-            self.next = FIRST_PORT + block * PORTS_A_RUN
+            self.next = FIRST_PORT + block * PORTS_PER_RUN
             self.lock = socket.socket()
             try:
                 self.lock.bind(("127.0.0.1", self.next))
@@ -72,7 +73,7 @@
                 self.lock.close()
         raise PlanError("no free ports")
 
-    def take(self):
+    def allocate(self):
         while True:
             self.next += 1
             with socket.socket() as s:
@@ -85,23 +86,23 @@
 
 def get(address, path):
     try:
-        with urllib.request.urlopen(f"http://{address}{path}", timeout=2) as answer:
-            return json.load(answer)
+        with urllib.request.urlopen(f"http://{address}{path}", timeout=2) as response:
+            return json.load(response)
     except (urllib.error.URLError, OSError, ValueError):
         return None
 
 
-class Changes:
-    """Configuration changes by the operators' command, and when each was in force at each controller."""
+class ConfigurationChanges:
+    """Applies configuration changes with the operators' command and measures when each controller has them in force."""
 
     def __init__(self, program, nodes):
         self.program, self.nodes = program, nodes
-        self.running = []  # (began, child, patch to be tried at another node where this one does not answer)
-        self.began = {}  # by version
+        self.running = []  # (began, child, patch to retry at another node if this one does not answer)
+        self.began = {}  # time of the command, by version
         self.outcomes = {}
         self.sent = 0
 
-    def apply(self, patch, folder, insist=False):
+    def apply(self, patch, folder, retry=False):
         path = f"{folder}/patch-{self.sent}.json"
         with open(path, "w", encoding="utf-8") as f:
             json.dump(patch, f)
@@ -114,17 +115,17 @@
             text=True,
             preexec_fn=die_with_parent,
         )
-        self.running.append((time.time(), child, (patch, folder) if insist else None))
+        self.running.append((time.time(), child, (patch, folder) if retry else None))
 
     def collect(self):
-        for began, child, again in [r for r in self.running if r[1].poll() is not None]:
-            self.running.remove((began, child, again))
+        for began, child, retry_args in [r for r in self.running if r[1].poll() is not None]:
+            self.running.remove((began, child, retry_args))
             text = child.stdout.read().strip()
             applied = APPLIED.match(text)
             if applied:
                 self.began[int(applied[1])] = began
-            elif again:
-                self.apply(*again, insist=True)
+            elif retry_args:
+                self.apply(*retry_args, retry=True)
             outcome = "applied" if applied else re.sub(r"127\.\S+", "NODE", text)
             self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
 
@@ -133,9 +134,9 @@
             child.kill()
             child.wait()
 
-    def report(self, controllers, gaps):
-        """Seconds from the beginning of the command to the log line of the version, or a later one, at each controller
-        that was running all the time in between; `gaps`: (from, to) by controller."""
+    def report(self, controllers, downtimes):
+        """Reports the seconds from the start of the command to the log line of that version, or a later one, at each
+        controller that ran without interruption in between; `downtimes` has (from, to) by controller."""
         delays = []
         for c in controllers:
             lines = []
@@ -145,8 +146,8 @@
                         lines.append((datetime.datetime.fromisoformat(m[1]).timestamp(), int(m[2] or m[3])))
             for version, began in self.began.items():
                 when = next((at for at, v in lines if v >= version and at >= began - 0.01), None)
-                away = any(began < to and (when is None or when > start) for start, to in gaps.get(c.name, []))
-                if when is not None and not away:
+                was_down = any(began < to and (when is None or when > start) for start, to in downtimes.get(c.name, []))
+                if when is not None and not was_down:
                     delays.append(when - began)
         return {
             "outcomes": self.outcomes,
@@ -157,13 +158,13 @@
 
 
 class Process:
-    """A child, its processor time and peak memory, over all its restarts."""
+    """A child process with its CPU time and peak memory over all restarts."""
 
     def __init__(self, name, command, log):
         self.name, self.command, self.log = name, command, log
         self.cpu_before = 0.0
         self.peak_mb = 0.0
-        self.cpu = []  # seconds so far, once a second
+        self.cpu = []  # cumulative CPU seconds, sampled once a second
         self.child = None
         self.start()
 
@@ -203,12 +204,12 @@
 
 
 def expanded(plan, scale, calm):
-    """The plan at another scale, with teams that have `copies` written out."""
+    """Returns the plan multiplied by `scale`, with each team that has `copies` expanded to that many teams."""
     plan = json.loads(json.dumps(plan))
     teams = []
     for team in plan["teams"]:
         limits = {k: v for k, v in team.items() if k not in ("name", "copies")}
-        if "copies" in team:  # fewer teams, not smaller ones: the largest gang has to fit
+        if "copies" in team:  # scales the number of teams, not their limits: the largest gang has to fit
             copies = max(1, round(team["copies"] * scale))
             teams += [{"name": f"{team['name']}-{i:02d}", **limits} for i in range(copies)]
         else:
@@ -226,10 +227,10 @@
 
 
 def merged(cell, plan):
-    """A cell's plan: what the whole plan says, with what the cell says of its own."""
-    out = {key: value for key, value in plan.items() if key != "cell"}
-    out.update(cell)
-    return out
+    """Returns the plan of a cell: the common plan, overridden by the keys of the cell."""
+    result = {key: value for key, value in plan.items() if key != "cell"}
+    result.update(cell)
+    return result
 
 
 class Cell:
@@ -237,20 +238,20 @@
         self.name, self.plan, self.folder = name, plan, folder
         self.events = sorted(plan.get("event", []), key=lambda e: e["at_s"])
         for e in self.events:
-            if e["kind"] not in FIELD_EVENTS + OWN_EVENTS:
+            if e["kind"] not in STAND_IN_EVENTS + RUNNER_EVENTS:
                 raise PlanError(f"event: unknown kind '{e['kind']}'")
-        self.own_events = [e for e in self.events if e["kind"] in OWN_EVENTS]
+        self.runner_events = [e for e in self.events if e["kind"] in RUNNER_EVENTS]
         self.restarts = []  # (when, process)
         self.killed = []
         self.ended_by_itself = []
-        state, self.control, cloud = ports.take(), ports.take(), ports.take()
-        users = [ports.take() for _ in range(plan["controllers"])]
-        links = [ports.take() for _ in range(plan["controllers"])]
+        state, self.control, cloud = ports.allocate(), ports.allocate(), ports.allocate()
+        users = [ports.allocate() for _ in range(plan["controllers"])]
+        links = [ports.allocate() for _ in range(plan["controllers"])]
         names = [f"{name}-{i}" for i in range(plan["controllers"])]
         store = {**plan["state"], "listen": state, "control": self.control}
         store["value_bytes"] = int(store.pop("value_kb") * 1024)
-        self.changes = Changes(f"{build}/martenwall", links)
-        self.gaps = {}
+        self.changes = ConfigurationChanges(f"{build}/martenwall", links)
+        self.downtimes = {}
         self.store = Process(
             "store",
             [f"{build}/scale/martenwall_stand_in", "store", self.write("store.json", store)],
@@ -287,7 +288,7 @@
                 "cloud_listen": cloud,
                 "result": self.result,
                 "controllers": [{"name": n, "users": u} for n, u in zip(names, users)],
-                "events": [e for e in self.events if e["kind"] in FIELD_EVENTS],
+                "events": [e for e in self.events if e["kind"] in STAND_IN_EVENTS],
             }
         )
         self.field = Process(
@@ -302,13 +303,13 @@
             json.dump(value, f)
         return path
 
-    def properties(self, deployed, own):
-        """The deployed properties file, with the plan's own behind."""
+    def properties(self, deployed, overrides):
+        """Writes the deployed properties, overridden by those of the plan, and returns the path of the new file."""
         path = f"{self.folder}/run.properties"
         with open(f"{ROOT}/{deployed}", encoding="utf-8") as f:
-            lines = [line for line in f.read().splitlines() if line.split("=")[0].strip() not in own]
+            lines = [line for line in f.read().splitlines() if line.split("=")[0].strip() not in overrides]
         with open(path, "w", encoding="utf-8") as f:
-            f.write("\n".join([*lines, *(f"{name} = {value}" for name, value in own.items())]) + "\n")
+            f.write("\n".join([*lines, *(f"{name} = {value}" for name, value in overrides.items())]) + "\n")
         return path
 
     def zone(self, i):
@@ -350,22 +351,22 @@
         return next((c for c in self.controllers if c.name == name and c.running()), None)
 
     def configure(self, event, now_s):
-        """Changes that are due: one, or `per_second` for `for_s` seconds, each of another value of `property`."""
+        """Applies the due changes: one, or `per_second` for `for_s` seconds, each with a new value of `property`."""
         if "patch" in event:
-            self.changes.apply(event["patch"], self.folder, insist=True)
+            self.changes.apply(event["patch"], self.folder, retry=True)
             return
         due = min(now_s - event["at_s"], event["for_s"]) * event["per_second"]
         while event.setdefault("sent", 0) < due:
             event["sent"] += 1
             self.changes.apply({"properties": {event["property"]: 0.01 + 1e-6 * self.changes.sent}}, self.folder)
         if now_s < event["at_s"] + event["for_s"]:
-            self.own_events.append(event)
+            self.runner_events.append(event)
 
     def step(self, now_s):
         self.changes.collect()
-        self.own_events.sort(key=lambda e: e["at_s"])
-        for event in [e for e in self.own_events if e["at_s"] <= now_s]:
-            self.own_events.remove(event)
+        self.runner_events.sort(key=lambda e: e["at_s"])
+        for event in [e for e in self.runner_events if e["at_s"] <= now_s]:
+            self.runner_events.remove(event)
             if event["kind"] == "configure":
                 self.configure(event, now_s)
                 continue
@@ -373,9 +374,11 @@
             for process in victims:
                 process.end()
                 self.killed.append((round(now_s, 1), event["kind"], process.name))
-                back_s = event.get("back_after_s", 8.0)
-                self.restarts.append((now_s + back_s, process))
-                self.gaps.setdefault(process.name, []).append((time.time(), time.time() + back_s + STARTS_WITHIN_S))
+                restart_delay_s = event.get("back_after_s", 8.0)
+                self.restarts.append((now_s + restart_delay_s, process))
+                self.downtimes.setdefault(process.name, []).append(
+                    (time.time(), time.time() + restart_delay_s + CONTROLLER_START_S)
+                )
         for when, process in [r for r in self.restarts if r[0] <= now_s]:
             self.restarts.remove((when, process))
             process.start()
@@ -423,42 +426,42 @@
 
 def cell_report(cell, counters, length_s):
     with open(cell.result, encoding="utf-8") as f:
-        r = json.load(f)
-    starts = numpy.array(r["starts_a_second"])
-    workers, started = r["workers"], max(1, r["started"])
+        result = json.load(f)
+    starts = numpy.array(result["starts_a_second"])
+    workers, started = result["workers"], max(1, result["started"])
     worker_seconds = max(1.0, workers["machines"] * length_s)
     payload = workers["report_bytes"] + workers["answer_bytes"] + workers["command_bytes"]
     classes = {}
-    for name, c in r["classes"].items():
+    for name, c in result["classes"].items():
         classes[name] = {k: c[k] for k in ("jobs", "tasks", "begun", "done", "cancelled")}
         classes[name]["begin_delay_s"] = quantiles(c["begin_delay_s"])
     return {
-        "breaches": r["breaches"],
+        "breaches": result["breaches"],
         "ended_by_itself": cell.ended_by_itself,
-        "open_jobs": r["open_jobs"],
+        "open_jobs": result["open_jobs"],
         "killed": cell.killed,
         "length_s": round(length_s, 1),
         "machines": workers["machines"],
-        "tasks_started": r["started"],
+        "tasks_started": result["started"],
         "starts_a_second": quantiles([float(s) for s in starts if s > 0]),
-        "most_on_machines": max(r["on_machines"], default=0),
+        "most_on_machines": max(result["on_machines"], default=0),
         "classes": classes,
-        "submit_s": quantiles(r["submit_s"]),
-        "errors": r["errors"],
-        "polls": r["polls"],
+        "submit_s": quantiles(result["submit_s"]),
+        "errors": result["errors"],
+        "polls": result["polls"],
         "lost_to_lease": workers["lost_to_lease"],
         "worker_bytes_a_second": round(payload / worker_seconds, 1),
         "worker_busiest_bytes_in_a_second": workers["busiest_bytes_in_a_second"],
         "reports_a_second": round(workers["reports"] / length_s, 1),
         "store": counters,
         "changes_a_start": round((counters or {}).get("changes", 0) / started, 4),
-        "cloud_calls": r["cloud_calls"],
-        "longest_tick_s": r["longest_tick_s"],
+        "cloud_calls": result["cloud_calls"],
+        "longest_tick_s": result["longest_tick_s"],
         "controllers": {c.name: process_figures(c, length_s) for c in cell.controllers},
         "stand_ins": {p.name: process_figures(p, length_s) for p in (cell.store, cell.field)},
         "log_bytes": {c.name: os.path.getsize(c.log) for c in cell.controllers},
-        "configuration": cell.changes.report(cell.controllers, cell.gaps) if cell.changes.sent else None,
-        "series": {"starts_a_second": r["starts_a_second"], "on_machines": r["on_machines"]},
+        "configuration": cell.changes.report(cell.controllers, cell.downtimes) if cell.changes.sent else None,
+        "series": {"starts_a_second": result["starts_a_second"], "on_machines": result["on_machines"]},
     }
 
 
@@ -492,9 +495,9 @@
             f"{name}: {verdict}; {c['machines']} machines, {c['tasks_started']} tasks started, starts a second "
             f"{c['starts_a_second']}, at most {c['most_on_machines']} on machines"
         )
-        for lane, k in c["classes"].items():
+        for label, k in c["classes"].items():
             lines.append(
-                f"  {lane}: {k['jobs']} jobs, {k['begun']} begun, {k['done']} done; begin delay {k['begin_delay_s']}"
+                f"  {label}: {k['jobs']} jobs, {k['begun']} begun, {k['done']} done; begin delay {k['begin_delay_s']}"
             )
         lines.append(
             f"  submissions {c['submit_s']} s; errors {c['errors']}; store {c['changes_a_start']} changes a start"
@@ -506,7 +509,7 @@
     return "\n".join(lines)
 
 
-def play(plan, build, folder):
+def run_cells(plan, build, folder):
     ports = Ports()
     cells = []
 
@@ -561,7 +564,7 @@
     parser.add_argument("--build", default=f"{ROOT}/target/scale")
     parser.add_argument("--report", metavar="FILE")
     parser.add_argument("--plot", metavar="FILE")
-    parser.add_argument("--logs", metavar="DIR", help="keep what the processes wrote")
+    parser.add_argument("--logs", metavar="DIR", help="keep the logs and files of the processes in DIR")
     args = parser.parse_args(argv)
     try:
         with open(args.plan, "rb") as f:
@@ -569,7 +572,7 @@
         with tempfile.TemporaryDirectory() as temporary:
             folder = args.logs or temporary
             os.makedirs(folder, exist_ok=True)
-            report = play(plan, os.path.abspath(args.build), folder)
+            report = run_cells(plan, os.path.abspath(args.build), folder)
     except (OSError, tomllib.TOMLDecodeError, KeyError, PlanError) as e:
         print(f"scale_run: {type(e).__name__}: {e}", file=sys.stderr)
         return 2
@@ -579,8 +582,8 @@
     if args.plot:
         plot(report, args.plot)
     print(summary(report))
-    bad = any(c["breaches"] or c["ended_by_itself"] or c["open_jobs"] for c in report["cells"].values())
-    return int(bad)
+    failed = any(c["breaches"] or c["ended_by_itself"] or c["open_jobs"] for c in report["cells"].values())
+    return int(failed)
 
 
 if __name__ == "__main__":
--- a/tools/scale_run_test.py
+++ b/tools/scale_run_test.py
@@ -1,6 +1,6 @@
-"""The scale run at its smallest: real controllers and stand-ins over loopback.
+"""Runs the smallest plan of the scale run: real controllers and stand-ins over loopback.
 
-MARTENWALL_BUILD: where they were built.
+MARTENWALL_BUILD: the build directory.
 """
 import contextlib
 import io
@@ -21,7 +21,7 @@
 
 
 def stand_ins_of(folder):
-    """Processes that were started for a run whose files lie in that folder."""
+    """Returns the command lines of the processes of the run whose files are in `folder`."""
     listing = subprocess.run(["ps", "-eo", "args"], stdout=subprocess.PIPE, text=True, check=True).stdout
     return [line for line in listing.splitlines() if folder in line and "scale_run.py" not in line]
 
@@ -32,7 +32,7 @@
         self.addCleanup(self.dir.cleanup)
         self.folder = self.dir.name
 
-    def play(self, plan):
+    def run_plan(self, plan):
         report = f"{self.folder}/report.json"
         out = io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
@@ -41,8 +41,8 @@
         with open(report, encoding="utf-8") as f:
             return code, json.load(f)["cells"]["cell"]
 
-    def test_no_rule_is_broken_when_the_leader_is_killed_and_a_zone_cut_off(self):
-        code, cell = self.play(TINY)
+    def test_no_rule_is_violated_when_the_leader_is_killed_and_a_zone_is_partitioned(self):
+        code, cell = self.run_plan(TINY)
         self.assertEqual((0, [], []), (code, cell["breaches"], cell["ended_by_itself"]))
         self.assertEqual(["kill_leader"], [kind for _, kind, _ in cell["killed"]])
         changes = cell["configuration"]
@@ -52,10 +52,10 @@
         for job_class in cell["classes"].values():
             self.assertEqual(job_class["jobs"], job_class["done"] + job_class["cancelled"])
 
-    def test_a_breach_that_workers_see_is_found(self):
+    def test_a_violation_that_workers_observe_is_reported(self):
         with open(TINY, encoding="utf-8") as f:
             text = f.read().split("[[event]]")[0].replace("arrivals_s = 20.0", "arrivals_s = 6.0")
-        # The judge asks for limits that no controller was told of.
+        # The rule checker applies limits that are not configured in any controller.
         text += '[[event]]\nat_s = 0.0\nkind = "limits"\nteams = [{ name = "red", cpus_max = 1.0 }]\n'
         text = text.replace('[[classes]]\nname = "batch"', '[[classes]]\nname = "batch"\nat_start = 4')
         text = text.replace("run_median_s = 4.0", "run_median_s = 20.0\nrun_most_s = 40.0")
@@ -64,7 +64,7 @@
         with open(plan, "w", encoding="utf-8") as f:
             f.write(text)
         tomllib.loads(text)
-        code, cell = self.play(plan)
+        code, cell = self.run_plan(plan)
         self.assertEqual(1, code)
         self.assertTrue(any(" quota " in breach for breach in cell["breaches"]), cell["breaches"])
 
@@ -83,7 +83,7 @@
         run.wait(timeout=30)
         self.assertEqual([], stand_ins_of(logs))
 
-    def test_a_plan_that_cannot_be_played_is_named(self):
+    def test_an_unreadable_plan_is_named(self):
         out = io.StringIO()
         with contextlib.redirect_stderr(out):
             self.assertEqual(2, scale_run.main([f"{self.folder}/absent.toml"]))
--- a/tools/served.py
+++ b/tools/served.py
@@ -1,17 +1,18 @@
 #!/usr/bin/env python3
-"""Who was served: for each class, each team and each class within a team, from the controllers' logs.
+"""Reports from the controllers' logs how well each class, each team and each class within a team was served.
 
     tools/served.py LOG... [--from S] [--until S] [--report FILE] [--json]
 
-LOG: what the controllers wrote, `LOG_LEVEL=info` or `debug`, one file or several; lines may begin with seconds and a
-node's name, else the time in the line counts. Jobs taken from --from to --until are counted, in seconds since the
-first line (default: all). --report: a run's report (JSON with `targets`); what it says of each class by its loosest
-aim is told beside, since users count from their first attempt and the log from the moment when a job was taken.
+LOG: one or more log files of controllers with `LOG_LEVEL=info` or `debug`. A line may begin with seconds and a node
+name; otherwise the timestamp in the line is used. Only jobs accepted between --from and --until are counted, in seconds
+since the first line (default: all). --report: a run's report (JSON with `targets`); its value for the loosest target of
+each class is printed as well, because users measure from their first attempt and the log from the acceptance of a job.
 
-Columns: jobs taken; started (all tasks ran once); done; done within 1 and 1.5 times the deadline, of those that have
-one; median and 95th of the wait until all tasks ran, s; GPU-seconds run (at `info` those of jobs that ended, at
-`debug` of all); served: the least of started, done and done within 1.5 times the deadline. Less than half served is
-marked, and ends the program with 1; unreadable input with 2.
+Columns: jobs accepted; started (each task has run); done; done within 1 and 1.5 times the deadline, of jobs with a
+deadline; median and 95th percentile of the wait in seconds until each task has run; GPU-seconds used (with `info` only
+of jobs that ended, with `debug` of all); served: the minimum of started, done and done within 1.5 times the deadline.
+
+Rows with less than half served are marked. Exit code 1 if there is such a row, 2 if the input cannot be read.
 """
 import argparse
 import datetime
@@ -21,9 +22,9 @@
 from collections import defaultdict
 
 LINE = re.compile(r"^\s*(?:([\d.]+)\s+(\S+)\s+)?(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d+)\S*\s+\S+\s+(.*)$")
-# Each event in the form that controllers write now, and in the one that the logs of earlier versions have (journal/,
-# incidents). Both have the same groups.
-ACCEPTED = (
+# Each event has two patterns with the same groups: the current log format, and the format of earlier versions, which
+# logs in journal/ and of incidents have.
+JOB_ACCEPTED = (
     re.compile(
         r"job accepted job=(\S+) tasks=(\d+) class=(\S+) team=(\S+) gpus=([\d.e+-]+) estimate_s=([\d.e+-]+)"
         r"(?: deadline_s=([\d.e+-]+))?"
@@ -33,52 +34,52 @@
         r"(?:, due in ([\d.]+) s)?"
     ),
 )
-DONE = (
+JOB_DONE = (
     re.compile(r"job done job=(\S+) after_s=([\d.]+)(?: task_run_s=([\d.]+))?"),
     re.compile(r"job (\S+) done after ([\d.]+) s(?:, its tasks ran ([\d.]+) s)?"),
 )
-ALL_RUN = (
+JOB_RUNNING = (
     re.compile(r"job running job=(\S+) tasks=\d+ after_s=([\d.]+)"),
     re.compile(r"job (\S+) runs: all \d+ tasks began within ([\d.]+) s"),
 )
-RUNS = (re.compile(r"task running task=(\S+)/(\d+) "), re.compile(r"task (\S+)/(\d+) runs on "))
-OFF = (
+TASK_RUNNING = (re.compile(r"task running task=(\S+)/(\d+) "), re.compile(r"task (\S+)/(\d+) runs on "))
+TASK_ENDED = (
     re.compile(r"task (?:ended|released) task=(\S+)/(\d+) "),
     re.compile(r"task (\S+)/(\d+) (?:ended on|is off)"),
 )
-HALF = 0.5
+MIN_SERVED = 0.5
 
 
 class Job:
     def __init__(self, at, match):
         self.at = at
         self.tasks = int(match[2])
-        self.lane, self.team = match[3], match[4]
+        self.job_class, self.team = match[3], match[4]
         self.gpus = float(match[5])
-        self.due_s = float(match[7]) if match[7] else None
-        self.ran = set()
+        self.deadline_s = float(match[7]) if match[7] else None
+        self.tasks_seen_running = set()
         self.started_s = self.done_s = None
         self.running = {}
         self.gpu_s = 0.0
 
-    def runs(self, index, at):
+    def on_task_running(self, index, at):
         self.running[index] = at
-        self.ran.add(index)
-        if self.started_s is None and len(self.ran) == self.tasks:
+        self.tasks_seen_running.add(index)
+        if self.started_s is None and len(self.tasks_seen_running) == self.tasks:
             self.started_s = at - self.at
 
-    def all_run(self, waited_s):
+    def on_job_running(self, wait_s):
         if self.started_s is None:
-            self.started_s = waited_s
+            self.started_s = wait_s
 
-    def ended(self, after_s, ran_s):
+    def on_job_done(self, after_s, task_run_s):
         self.done_s = after_s
-        if self.started_s is None:  # its last start was told by a leader whose log is not here
+        if self.started_s is None:  # the last start was logged by a leader whose log was not given
             self.started_s = after_s
-        if ran_s is not None and not self.ran:  # its tasks are not told one by one
-            self.gpu_s = ran_s * self.gpus
+        if task_run_s is not None and not self.tasks_seen_running:  # at level info, single tasks are not logged
+            self.gpu_s = task_run_s * self.gpus
 
-    def off(self, index, at):
+    def on_task_ended(self, index, at):
         began = self.running.pop(index, None)
         if began is not None:
             self.gpu_s += (at - began) * self.gpus
@@ -90,7 +91,7 @@
 
 
 def read(lines, jobs, clock):
-    """Adds what the lines tell to `jobs`; `clock` remembers the first time of lines without seconds of their own."""
+    """Adds the events of the lines to `jobs`; `clock` keeps the first timestamp of lines without leading seconds."""
     for line in lines:
         m = LINE.match(line)
         if not m:
@@ -101,20 +102,20 @@
             stamp = datetime.datetime.fromisoformat(m[3]).timestamp()
             at = stamp - clock.setdefault("first", stamp)
         text = m[4]
-        if t := match_any(ACCEPTED, text):
-            jobs.setdefault(t[1], Job(at, t))  # a later leader tells of it no second time, another log may
-        elif t := match_any(RUNS, text):
+        if t := match_any(JOB_ACCEPTED, text):
+            jobs.setdefault(t[1], Job(at, t))  # logged once per job, but several logs may contain the line
+        elif t := match_any(TASK_RUNNING, text):
             if t[1] in jobs:
-                jobs[t[1]].runs(int(t[2]), at)
-        elif t := match_any(OFF, text):
+                jobs[t[1]].on_task_running(int(t[2]), at)
+        elif t := match_any(TASK_ENDED, text):
             if t[1] in jobs:
-                jobs[t[1]].off(int(t[2]), at)
-        elif t := match_any(ALL_RUN, text):
+                jobs[t[1]].on_task_ended(int(t[2]), at)
+        elif t := match_any(JOB_RUNNING, text):
             if t[1] in jobs:
-                jobs[t[1]].all_run(float(t[2]))
-        elif t := match_any(DONE, text):
+                jobs[t[1]].on_job_running(float(t[2]))
+        elif t := match_any(JOB_DONE, text):
             if t[1] in jobs and jobs[t[1]].done_s is None:
-                jobs[t[1]].ended(float(t[2]), float(t[3]) if t[3] else None)
+                jobs[t[1]].on_job_done(float(t[2]), float(t[3]) if t[3] else None)
 
 
 def quantile(values, q):
@@ -125,8 +126,8 @@
 
 
 def figures(jobs):
-    due = [j for j in jobs if j.due_s is not None]
-    in_time = [sum(j.done_s is not None and j.done_s <= times * j.due_s for j in due) for times in (1.0, 1.5)]
+    due = [j for j in jobs if j.deadline_s is not None]
+    in_time = [sum(j.done_s is not None and j.done_s <= times * j.deadline_s for j in due) for times in (1.0, 1.5)]
     waits = [j.started_s for j in jobs if j.started_s is not None]
     out = {
         "taken": len(jobs),
@@ -145,14 +146,14 @@
 def table(jobs):
     groups = defaultdict(list)
     for job in jobs:
-        groups[(job.lane, "")].append(job)
+        groups[(job.job_class, "")].append(job)
         groups[("", job.team)].append(job)
-        groups[(job.lane, job.team)].append(job)
-    return [{"class": lane, "team": team, **figures(group)} for (lane, team), group in sorted(groups.items())]
+        groups[(job.job_class, job.team)].append(job)
+    return [{"class": job_class, "team": team, **figures(group)} for (job_class, team), group in sorted(groups.items())]
 
 
-def loosest_aims(report):
-    """For each class and kind of aim of a report the loosest one: (class, text, share)."""
+def loosest_targets(report):
+    """Returns the loosest target of each class and kind in a report, as (class, text, share)."""
     loosest = {}
     for t in report.get("targets", []):
         if "class" not in t or t.get("kind") not in ("wait", "finished", "deadline"):
@@ -161,7 +162,7 @@
         key = (t["class"], t["kind"])
         if key not in loosest or bound > loosest[key][0]:
             loosest[key] = (bound, t["value"])
-    return [(lane, f"{kind} {bound:g}", value) for (lane, kind), (bound, value) in sorted(loosest.items())]
+    return [(job_class, f"{kind} {bound:g}", value) for (job_class, kind), (bound, value) in sorted(loosest.items())]
 
 
 def show(rows):
@@ -172,7 +173,7 @@
     for r in rows:
         cells = [f"{r[k]:.3f}" if r[k] is not None else "-" for k in ("started", "done", "in_1x", "in_1.5x")]
         waits = [f"{r[k]:.0f}" if r[k] is not None else "-" for k in ("wait_median_s", "wait_95th_s")]
-        mark = "  LESS THAN HALF" if r["served"] < HALF else ""
+        mark = "  LESS THAN HALF" if r["served"] < MIN_SERVED else ""
         print(
             f"{r['class'] or 'all':18}{r['team'] or 'all':18}{r['taken']:>6}"
             + "".join(f"{c:>7}" for c in cells)
@@ -203,17 +204,19 @@
         return 2
     counted = [j for j in jobs.values() if args.since <= j.at <= args.until]
     if not counted:
-        print("served: no job was taken in these logs between --from and --until", file=sys.stderr)
+        print("served: these logs have no job accepted between --from and --until", file=sys.stderr)
         return 2
     rows = table(counted)
-    aims = loosest_aims(report) if report else []
+    targets = loosest_targets(report) if report else []
     if args.json:
-        print(json.dumps({"rows": rows, "aims": aims}))
+        print(json.dumps({"rows": rows, "aims": targets}))
     else:
         show(rows)
-        for lane, text, value in aims:
-            print(f"by the report: {lane} {text}: {value:.3f}" + ("  LESS THAN HALF" if value < HALF else ""))
-    return int(any(r["served"] < HALF for r in rows) or any(a[2] < HALF for a in aims))
+        for job_class, text, value in targets:
+            print(
+                f"by the report: {job_class} {text}: {value:.3f}" + ("  LESS THAN HALF" if value < MIN_SERVED else "")
+            )
+    return int(any(r["served"] < MIN_SERVED for r in rows) or any(a[2] < MIN_SERVED for a in targets))
 
 
 if __name__ == "__main__":
--- a/tools/served_test.py
+++ b/tools/served_test.py
@@ -25,7 +25,7 @@
 """
 
 
-# What is written at `info`: no line a task.
+# Log of the same kind at level `info`, which has no lines for single tasks.
 INFO_LOG = """\
    10.0 stall-1 2026-09-21T14:13:30.476 info job job-000001 taken: 2 tasks of scan, team red, 1.500000 GPUs each, \
 estimated 30.0 s, due in 70.0 s
@@ -34,7 +34,7 @@
 """
 
 
-# The same two logs as earlier versions wrote them: those of the journal and of incidents are read still.
+# The logs above have the format of earlier versions, which logs in journal/ and of incidents have.
 EARLIER_LOG, EARLIER_INFO_LOG = LOG, INFO_LOG
 LOG = """\
    10.0 stall-1 2026-09-21T14:13:30.476 info job accepted job=job-000001 tasks=2 class=scan team=red \
@@ -86,7 +86,7 @@
         code, out = run(self.log, "--json", *argv)
         return code, {(r["class"], r["team"]): r for r in json.loads(out)["rows"]}
 
-    def test_classes_teams_and_both_are_told_apart(self):
+    def test_rows_by_class_by_team_and_by_both(self):
         code, rows = self.rows()
         self.assertEqual(
             {
@@ -107,21 +107,21 @@
         self.assertEqual(120, rows["train", "blue"]["gpu_s"])
         self.assertIsNone(rows["train", "blue"]["in_1x"])
         self.assertEqual(0.0, rows["scan", "blue"]["served"])
-        self.assertEqual(1, code, "a pair of which nothing is served ends the program with 1")
+        self.assertEqual(1, code, "a class and team with nothing served must give exit code 1")
 
-    def test_jobs_whose_tasks_are_not_told_one_by_one(self):
+    def test_jobs_without_lines_for_single_tasks(self):
         code, out = run(self.file("info", self.info_text), "--json")
         self.assertEqual(0, code)
         scan = {(r["class"], r["team"]): r for r in json.loads(out)["rows"]}["scan", "red"]
         self.assertEqual((1.0, 1.0, 20.0), (scan["started"], scan["done"], scan["wait_median_s"]))
         self.assertEqual(119 * 1.5, scan["gpu_s"])
 
-    def test_only_jobs_of_the_time_asked_for_count(self):
+    def test_only_jobs_of_the_given_period_are_counted(self):
         code, rows = self.rows("--until", "10.5")
         self.assertEqual(0, code)
         self.assertNotIn(("scan", "blue"), rows)
 
-    def test_a_report_is_judged_by_the_loosest_aim(self):
+    def test_a_report_is_evaluated_by_the_loosest_target(self):
         report = self.file(
             "report",
             json.dumps(
@@ -138,7 +138,7 @@
         self.assertEqual(0, code)
         self.assertIn("scan deadline 1.5: 0.600", out)
 
-    def test_what_cannot_be_read_is_named(self):
+    def test_unreadable_input_is_named(self):
         self.assertEqual(2, run(self.file("empty", ""))[0])
         code, out = run(os.path.join(self.dir.name, "absent"))
         self.assertEqual(2, code)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,14 +1,14 @@
 #!/usr/bin/python3
-"""Fits a straight line through each benchmark of bench/slopes_bench.cpp and prints the table of slopes.
+"""Fits a line to the results of each benchmark of bench/slopes_bench.cpp and prints a table of the slopes.
 
     tools/slopes.py target/bench/bench/martenwall_slopes [--filter REGEX] [--json FILE]
     tools/slopes.py --from FILE
 
-Needs Debian's python3-numpy, hence Debian's own Python. The first form runs the program and keeps what it measured in
-FILE, the second reads such a file. A benchmark's argument is the amount; fitted is its counter `bytes` where it has
-one above 0, else its time in microseconds (the median of three repetitions). Columns: cost of one more, cost that is
-there without any, the largest deviation of a point from the line (part of the largest point), and the points. A
-benchmark of fewer than four amounts is an error (exit code 2).
+Requires Debian's python3-numpy and therefore Debian's Python. The first form runs the program and writes its results to
+FILE; the second reads such a file. A benchmark's argument is the amount. The fitted value is its counter `bytes` if
+that is above 0, otherwise its time in microseconds (median of three repetitions). Columns: cost per unit (slope), fixed
+cost (intercept), the largest deviation of a point from the line as a fraction of the largest point, and the points. A
+benchmark with fewer than four amounts is an error (exit code 2).
 """
 import argparse
 import json
@@ -18,7 +18,7 @@
 
 import numpy
 
-LEAST_POINTS = 4
+MIN_POINTS = 4
 
 
 class NotEnoughPoints(Exception):
@@ -26,7 +26,7 @@
 
 
 def points(report):
-    """By benchmark: unit and list of (amount, cost)."""
+    """Returns the unit and a list of (amount, cost) for each benchmark."""
     out = defaultdict(lambda: ["us", []])
     for run in report["benchmarks"]:
         if run.get("aggregate_name") != "median":
@@ -40,8 +40,8 @@
 
 
 def fit(name, unit, pairs):
-    if len(pairs) < LEAST_POINTS:
-        raise NotEnoughPoints(f"{name}: {len(pairs)} amounts, at least {LEAST_POINTS} are needed")
+    if len(pairs) < MIN_POINTS:
+        raise NotEnoughPoints(f"{name}: {len(pairs)} amounts, at least {MIN_POINTS} are needed")
     x, y = (numpy.array(column) for column in zip(*pairs))
     slope, base = numpy.polyfit(x, y, 1)
     deviation = float(numpy.max(numpy.abs(y - (slope * x + base))) / max(float(numpy.max(y)), 1e-12))
--- a/tools/slopes_test.py
+++ b/tools/slopes_test.py
@@ -29,7 +29,7 @@
 
 
 class SlopesTest(unittest.TestCase):
-    def test_a_line_is_found_with_its_deviation(self):
+    def test_fit_of_a_line_and_its_deviation(self):
         pairs = [(100.0, 250.0), (200.0, 450.0), (300.0, 650.0), (400.0, 850.0)]
         row = slopes.fit("x", "us", pairs)
         self.assertAlmostEqual(2, row["slope"])
@@ -38,7 +38,7 @@
         bent = slopes.fit("x", "us", pairs[:3] + [(400.0, 1850.0)])
         self.assertGreater(bent["deviation"], 0.1)
 
-    def test_bytes_are_fitted_where_there_are_any(self):
+    def test_bytes_are_fitted_if_present(self):
         runs = [run_of("time", n, 3 * n + 10) for n in (1, 2, 4, 8)]
         runs += [run_of("size", n, 5, 100 * n) for n in (1, 2, 4, 8)]
         runs.append({**run_of("time", 1, 999), "aggregate_name": "mean"})
--- a/tools/tidy_files.py
+++ b/tools/tidy_files.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Prints which sources clang-tidy is to look at: all that it is given, without those that do not pass yet.
+"""Prints the sources that clang-tidy checks: the given ones except those that do not pass yet.
 
     git ls-files '*.cpp' | tools/tidy_files.py .ci/tidy-pending.txt
 
-PENDING: a file or folder a line, `#` begins a comment. An entry that leaves nothing out is an error, so that the list
-is cleared up as sources pass, move or go. Exit code 2 for such an entry or a list that cannot be read.
+PENDING has one file or folder per line; `#` begins a comment. An entry that matches no source is an error, so that the
+list is updated when sources are moved or removed. Exit code 2 for such an entry or a list that cannot be read.
 """
 import argparse
 import sys
@@ -20,10 +20,10 @@
 
 
 def select(sources, pending):
-    """The sources to look at, and the entries that leave nothing out."""
-    kept = [source for source in sources if not any(covers(entry, source) for entry in pending)]
-    idle = [entry for entry in pending if not any(covers(entry, source) for source in sources)]
-    return kept, idle
+    """Returns the sources to check and the entries that match no source."""
+    selected = [source for source in sources if not any(covers(entry, source) for entry in pending)]
+    unmatched = [entry for entry in pending if not any(covers(entry, source) for source in sources)]
+    return selected, unmatched
 
 
 def main(argv, stdin):
@@ -36,12 +36,12 @@
     except OSError as error:
         print(f"tidy_files: {error}", file=sys.stderr)
         return 2
-    kept, idle = select(stdin.read().split(), pending)
-    for entry in idle:
-        print(f"tidy_files: {options.pending}: no source under '{entry}'; take the line out", file=sys.stderr)
-    if idle:
+    selected, unmatched = select(stdin.read().split(), pending)
+    for entry in unmatched:
+        print(f"tidy_files: {options.pending}: no source under '{entry}'; remove the line", file=sys.stderr)
+    if unmatched:
         return 2
-    print("\n".join(kept))
+    print("\n".join(selected))
     return 0
 
 
--- a/tools/tidy_files_test.py
+++ b/tools/tidy_files_test.py
@@ -20,7 +20,7 @@
                 code = tidy_files.main([name], io.StringIO("\n".join(sources)))
         return code, out.getvalue().split(), err.getvalue()
 
-    def test_all_without_entries(self):
+    def test_no_entries_select_all_sources(self):
         self.assertEqual((0, SOURCES, ""), self.run_with("# nothing pending\n\n"))
 
     def test_a_file(self):
@@ -29,11 +29,11 @@
     def test_a_folder_is_not_a_prefix_of_a_name(self):
         self.assertEqual((0, ["src/a.cpp", "scaled/d.cpp", "tests/e_test.cpp"], ""), self.run_with("scale/\n"))
 
-    def test_an_entry_that_leaves_nothing_out(self):
-        code, kept, said = self.run_with("src/a.cpp\nsrc/gone.cpp\n")
-        self.assertEqual((2, []), (code, kept))
-        self.assertIn("'src/gone.cpp'", said)
-        self.assertNotIn("src/a.cpp", said)
+    def test_an_entry_that_matches_no_source(self):
+        code, selected, errors = self.run_with("src/a.cpp\nsrc/gone.cpp\n")
+        self.assertEqual((2, []), (code, selected))
+        self.assertIn("'src/gone.cpp'", errors)
+        self.assertNotIn("src/a.cpp", errors)
 
     def test_no_list(self):
         err = io.StringIO()
