--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -33,7 +33,7 @@
   traits.type = type.name;
   traits.zone = zone;
   traits.spot = spot;
-  traits.room = type.capacity;
+  traits.capacity = type.capacity;
   traits.cache_gb = type.cache_gb;
   workers_.push_back(std::make_unique<HollowWorker>(fleet_, std::move(traits), boot_time));
   workers_.back()->run();
@@ -79,7 +79,7 @@
     const auto it = std::ranges::lower_bound(workers_, name, {}, by_name);
     const bool exists = it != workers_.end() && by_name(*it) == name && !(*it)->model().gone();
     if (!exists) continue;
-    (*it)->model().take_away();
+    (*it)->model().terminate();
     ++spare_[(*it)->model().traits().type];
   }
   return {200, "{}", {}, false};
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -85,7 +85,7 @@
   bytes_ += result.body.size();
   if (!route_.follow(in_time ? result.status : 0, body, fleet_.controller_names, now)) return;
   ++fleet_.traffic.answered;
-  model_.take_answer(body, incarnation, sent, now);
+  model_.apply_response(body, incarnation, sent, now);
 }
 
 rt::Task<rt::HttpResponse> HollowWorker::serve(rt::HttpMessage request) {
--- a/scale/store_server.cpp
+++ b/scale/store_server.cpp
@@ -47,7 +47,7 @@
 rt::Task<rt::HttpResponse> StoreServer::handle(rt::HttpMessage request) {
   ++counts_.requests;
   counts_.bytes_in += request.body.size();
-  if (!model_.takes_request(loop_.update_time())) {
+  if (!model_.admit_request(loop_.update_time())) {
     ++counts_.refused;
     co_return too_many_requests();
   }
@@ -59,7 +59,7 @@
     co_return rt::HttpResponse{reply.status, std::move(reply.body), {}, false};
   }
   const json txn = json::parse(request.body);
-  if (!model_.takes_changes(txn.at("then").size(), loop_.now())) {
+  if (!model_.admit_changes(txn.at("then").size(), loop_.now())) {
     ++counts_.refused;
     co_return too_many_requests();
   }
@@ -73,7 +73,7 @@
   const auto watch = stand_ins::StoreModel::parse_watch(target);
   const Time until = loop_.now() + watch.hold;
   for (;;) {
-    auto response = model_.look(watch, loop_.now() >= until);
+    auto response = model_.poll_watch(watch, loop_.now() >= until);
     if (response) co_return rt::HttpResponse{response->status, std::move(response->body), {}, false};
     co_await changed_.wait(until);
   }
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -80,7 +80,7 @@
 
 rt::Task<void> Users::cancel(JobId id) {
   ++cancel_count_;
-  rules_.jobs().at(id).cancel_asked = loop_.now();
+  rules_.jobs().at(id).cancel_requested = loop_.now();
   for (;;) {
     const stand_ins::Ordinal sent = rules_.on_request_sent();
     std::string target = "/api/jobs/" + id.value() + "/cancel";
@@ -117,7 +117,7 @@
   const Time cancel_at = cancels ? loop_.now() + seconds(rules_.job(id).run_s * uniform()) : Time::max();
   while (!finished) {
     co_await loop_.sleep(seconds(to_seconds(poll_interval) * (0.8 + 0.4 * uniform())));
-    if (loop_.now() >= cancel_at && !rules_.job(id).cancel_asked) co_await cancel(id);
+    if (loop_.now() >= cancel_at && !rules_.job(id).cancel_requested) co_await cancel(id);
     finished = co_await poll(id);
   }
   --open_jobs_;
@@ -129,7 +129,7 @@
     const JobId id{job_name(first_unknown_job + static_cast<std::size_t>(uniform() * 1000))};
     std::string target = "/api/jobs/" + id.value();
     const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_timeout);
-    if (r.ok()) rules_.on_unknown_job_known(id, loop_.now());
+    if (r.ok()) rules_.on_unsubmitted_job_found(id, loop_.now());
     co_await loop_.sleep(unknown_job_poll_interval);
   }
 }
@@ -151,9 +151,9 @@
     c["tasks"] = c["tasks"].get<std::size_t>() + w.spec.tasks;
     if (w.reported_done) c["done"] = c["done"].get<std::size_t>() + 1;
     if (w.reported_cancelled) c["cancelled"] = c["cancelled"].get<std::size_t>() + 1;
-    if (!w.begun) continue;
+    if (!w.started) continue;
     c["begun"] = c["begun"].get<std::size_t>() + 1;
-    c["begin_delay_s"].push_back(to_seconds(*w.begun - w.submitted));
+    c["begin_delay_s"].push_back(to_seconds(*w.started - w.submitted));
     c["submitted_s"].push_back(to_seconds(w.submitted - began));
   }
   return {{"classes", classes},
--- a/stand_ins/rules.cpp
+++ b/stand_ins/rules.cpp
@@ -5,18 +5,18 @@
 namespace martenwall::stand_ins {
 
 namespace {
-constexpr Duration longest_unanswered = seconds(75);
+constexpr Duration max_unanswered = seconds(75);
 constexpr Duration max_wait_with_capacity = seconds(90);
 constexpr std::size_t max_violations = 8;
 }  // namespace
 
 SubmittedJob& Rules::add(JobSpec spec, double run_s, Time now) {
   const JobId id = spec.id;
-  auto& w = jobs_[id];
-  w.spec = std::move(spec);
-  w.run_s = run_s;
-  w.submitted = w.last_answer_at = now;
-  return w;
+  auto& entry = jobs_[id];
+  entry.spec = std::move(spec);
+  entry.run_s = run_s;
+  entry.submitted = entry.last_response_at = now;
+  return entry;
 }
 
 const SubmittedJob* Rules::find(const JobId& id) const {
@@ -30,7 +30,7 @@
   }
 }
 
-// Given the job's other tasks at this moment.
+// Checks zones against the job's other tasks that are on machines.
 void Rules::check_place(const TaskId& task, const Place& place, Time now) {
   const auto& spec = jobs_.at(task.job).spec;
   const auto wrong = [&](const char* what) {
@@ -41,7 +41,7 @@
   if (spec.types && std::ranges::find(*spec.types, place.type) == spec.types->end()) wrong("type");
   if (!spec.one_zone && !spec.spread) return;
   std::uint32_t in_zone = 1;
-  for (const auto& [index, holders] : on_[task.job]) {
+  for (const auto& [index, holders] : holders_[task.job]) {
     for (const auto& [machine, zone] : holders) {
       if (spec.one_zone && zone != place.zone) wrong("two zones");
       if (zone == place.zone && index != task.index) ++in_zone;
@@ -55,13 +55,13 @@
   return it == used_.end() ? Resources{} : it->second;
 }
 
-// A limit of 0 is none.
+// Returns whether usage is within the limit; a limit of 0 means unlimited.
 bool Rules::within(const Resources& limit, const Resources& used) const {
   constexpr double slack = 1e-6;
   return (limit.gpus <= 0 || used.gpus <= limit.gpus + slack) && (limit.cpus <= 0 || used.cpus <= limit.cpus + slack);
 }
 
-// Any of the limits that a start may still go by allows it. A team that is not named may use nothing.
+// Reports a violation unless one of the limits in force allows the usage. An unnamed team may use nothing.
 void Rules::check_limit(const std::string& team, Time now) {
   std::erase_if(limits_, [&](const Limits& l) { return l.until < now; });
   const auto allows = [&](const Limits& l) {
@@ -78,50 +78,50 @@
 
 void Rules::on_task_started(const TaskId& task, const Place& place, Time now) {
   ++started_;
-  auto& w = jobs_.at(task.job);
-  if (w.reported_cancelled) ++started_after_cancel_;
-  for (const auto& id : w.spec.dependencies) {
+  auto& entry = jobs_.at(task.job);
+  if (entry.reported_cancelled) ++started_after_cancel_;
+  for (const auto& id : entry.spec.dependencies) {
     if (jobs_.at(id).completed.size() != jobs_.at(id).spec.tasks) report_violation("too early " + to_string(task), now);
   }
-  auto& holders = on_[task.job][task.index];
+  auto& holders = holders_[task.job][task.index];
   for (const auto& [machine, zone] : holders) {
     report_violation("ran_twice " + to_string(task) + " on " + machine.value() + " and " + place.machine.value(), now);
   }
   check_place(task, place, now);
-  if (w.spec.kind == JobKind::array && !w.begun && w.begun_tasks.insert(task.index).second &&
-      w.begun_tasks.size() == w.spec.tasks) {
-    w.begun = now;
-    w.begun_tasks.clear();
+  if (entry.spec.kind == JobKind::array && !entry.started && entry.started_tasks.insert(task.index).second &&
+      entry.started_tasks.size() == entry.spec.tasks) {
+    entry.started = now;
+    entry.started_tasks.clear();
   }
-  if (holders.emplace(place.machine, place.zone).second) used_[w.spec.team].add(w.spec.need);
-  check_limit(w.spec.team, now);
-  if (w.reported_cancelled && now - *w.reported_cancelled > seconds(timings_.cancel_s)) {
+  if (holders.emplace(place.machine, place.zone).second) used_[entry.spec.team].add(entry.spec.need);
+  check_limit(entry.spec.team, now);
+  if (entry.reported_cancelled && now - *entry.reported_cancelled > seconds(timings_.cancel_s)) {
     report_violation("ran_cancelled " + to_string(task) + " starts on " + place.machine.value(), now);
   }
 }
 
 void Rules::on_gang_running(const JobId& job, Time now) {
-  auto& w = jobs_.at(job);
-  if (!w.begun) w.begun = now;
+  auto& entry = jobs_.at(job);
+  if (!entry.started) entry.started = now;
 }
 
 void Rules::on_task_completed(const TaskId& task) {
-  auto& w = jobs_.at(task.job);
-  const bool fresh = w.completed.insert(task.index).second;
-  if (fresh && w.completed.size() == w.spec.tasks && on_complete) on_complete(task.job);
+  auto& entry = jobs_.at(task.job);
+  const bool newly_completed = entry.completed.insert(task.index).second;
+  if (newly_completed && entry.completed.size() == entry.spec.tasks && on_complete) on_complete(task.job);
 }
 
 std::set<std::uint32_t> Rules::on_machines(const JobId& id) const {
   std::set<std::uint32_t> out;
-  const auto it = on_.find(id);
-  if (it == on_.end()) return out;
+  const auto it = holders_.find(id);
+  if (it == holders_.end()) return out;
   for (const auto& [index, holders] : it->second) out.insert(index);
   return out;
 }
 
 std::size_t Rules::tasks_on_machines() const {
   std::size_t n = 0;
-  for (const auto& [id, tasks] : on_) n += tasks.size();
+  for (const auto& [id, tasks] : holders_) n += tasks.size();
   return n;
 }
 
@@ -135,80 +135,81 @@
   return within(team->limit, used);
 }
 
-void Rules::check_neglected(const JobId& id, bool so, Time now) {
-  auto& w = jobs_.at(id);
-  if (!so) return w.waiting_with_capacity_since.reset();
-  if (!w.waiting_with_capacity_since) w.waiting_with_capacity_since = now;
-  if (now - *w.waiting_with_capacity_since <= max_wait_with_capacity) return;
-  report_violation("neglected " + id.value() + ": waits beside room", now);
-  w.waiting_with_capacity_since = now;
+void Rules::check_neglected(const JobId& id, bool could_start, Time now) {
+  auto& entry = jobs_.at(id);
+  if (!could_start) return entry.waiting_with_capacity_since.reset();
+  if (!entry.waiting_with_capacity_since) entry.waiting_with_capacity_since = now;
+  if (now - *entry.waiting_with_capacity_since <= max_wait_with_capacity) return;
+  report_violation("neglected " + id.value() + ": waits although capacity is free", now);
+  entry.waiting_with_capacity_since = now;
 }
 
-void Rules::on_task_left(const TaskId& task, const MachineId& on) {
-  const auto job = on_.find(task.job);
-  if (job == on_.end()) return;
+void Rules::on_task_removed(const TaskId& task, const MachineId& on) {
+  const auto job = holders_.find(task.job);
+  if (job == holders_.end()) return;
   const auto holders = job->second.find(task.index);
   if (holders == job->second.end() || holders->second.erase(on) == 0) return;
   const auto& spec = jobs_.at(task.job).spec;
   used_[spec.team].add(spec.need, -1);
   if (holders->second.empty()) job->second.erase(holders);
-  if (job->second.empty()) on_.erase(job);
+  if (job->second.empty()) holders_.erase(job);
 }
 
-// Its own user, or that of a job that it awaits, directly or through others.
-bool Rules::asked_to_cancel(const JobId& id) const {
-  const auto& w = jobs_.at(id);
-  return w.cancel_asked || std::ranges::any_of(w.spec.dependencies, [&](const JobId& a) { return asked_to_cancel(a); });
+// Returns whether cancellation was requested for the job or for a direct or transitive dependency.
+bool Rules::cancellation_requested(const JobId& id) const {
+  const auto& entry = jobs_.at(id);
+  return entry.cancel_requested ||
+         std::ranges::any_of(entry.spec.dependencies, [&](const JobId& a) { return cancellation_requested(a); });
 }
 
 void Rules::on_phase_reported(const JobId& id, const std::string& phase, Ordinal sent, Time now) {
-  auto& w = jobs_.at(id);
-  w.last_answer_at = now;
-  bool news = !w.accepted;
-  const Ordinal heard = ++order_;
-  if (!w.accepted) {
-    w.accepted = now;
-    w.acceptance_order = heard;
+  auto& entry = jobs_.at(id);
+  entry.last_response_at = now;
+  bool news = !entry.accepted;
+  const Ordinal received = ++order_;
+  if (!entry.accepted) {
+    entry.accepted = now;
+    entry.acceptance_order = received;
   }
-  const bool was_done = w.reported_done && sent > w.end_order;
-  const bool was_cancelled = w.reported_cancelled && sent > w.end_order;
+  const bool was_done = entry.reported_done && sent > entry.end_order;
+  const bool was_cancelled = entry.reported_cancelled && sent > entry.end_order;
   if (was_done && phase != "done") report_violation("went_back " + id.value() + ": done, then " + phase, now);
   if (was_cancelled && phase != "withdrawn")
     report_violation("went_back " + id.value() + ": withdrawn, then " + phase, now);
   if (phase == "done") {
-    if (w.completed.size() != w.spec.tasks) report_violation("not_done " + id.value(), now);
-    news = news || !w.reported_done;
-    if (!w.reported_done) w.reported_done = now;
+    if (entry.completed.size() != entry.spec.tasks) report_violation("not_done " + id.value(), now);
+    news = news || !entry.reported_done;
+    if (!entry.reported_done) entry.reported_done = now;
   }
   if (phase == "withdrawn") {
-    if (!asked_to_cancel(id)) report_violation("went_back " + id.value() + ": cancelled by no one", now);
-    news = news || !w.reported_cancelled;
-    if (!w.reported_cancelled) w.reported_cancelled = now;
+    if (!cancellation_requested(id)) report_violation("went_back " + id.value() + ": cancelled by no one", now);
+    news = news || !entry.reported_cancelled;
+    if (!entry.reported_cancelled) entry.reported_cancelled = now;
   }
-  if (w.end_order == 0 && (w.reported_done || w.reported_cancelled)) w.end_order = heard;
-  // An end is for good, whichever question was sent first.
-  if (w.reported_done && w.reported_cancelled)
+  if (entry.end_order == 0 && (entry.reported_done || entry.reported_cancelled)) entry.end_order = received;
+  // A final phase is permanent, whichever request was sent first.
+  if (entry.reported_done && entry.reported_cancelled)
     report_violation("went_back " + id.value() + ": both done and withdrawn", now);
-  if (news && on_news) on_news(id);
+  if (news && on_status_change) on_status_change(id);
 }
 
 void Rules::on_permanent_refusal(const JobId& id, int status, Ordinal sent, Time now) {
-  auto& w = jobs_.at(id);
-  w.last_answer_at = now;
-  if (w.accepted && sent > w.acceptance_order)
+  auto& entry = jobs_.at(id);
+  entry.last_response_at = now;
+  if (entry.accepted && sent > entry.acceptance_order)
     report_violation("forgotten " + id.value() + ": " + std::to_string(status), now);
 }
 
-void Rules::on_unknown_job_known(const JobId& id, Time now) { report_violation("invented " + id.value(), now); }
+void Rules::on_unsubmitted_job_found(const JobId& id, Time now) { report_violation("invented " + id.value(), now); }
 
 void Rules::finish(Time now) {
   if (started_ == 0) report_violation("nothing_ran", now);
 }
 
 void Rules::tick(Time now) {
-  for (const auto& [id, tasks] : on_) {
-    const auto& w = jobs_.at(id);
-    if (!w.reported_cancelled || now - *w.reported_cancelled <= seconds(timings_.cancel_s)) continue;
+  for (const auto& [id, tasks] : holders_) {
+    const auto& entry = jobs_.at(id);
+    if (!entry.reported_cancelled || now - *entry.reported_cancelled <= seconds(timings_.cancel_s)) continue;
     for (const auto& [index, holders] : tasks) {
       for (const auto& [machine, zone] : holders) {
         report_violation("ran_cancelled " + to_string(TaskId{id, index}) + " on " + machine.value(), now);
@@ -216,13 +217,13 @@
     }
   }
   if (!faults_over_since_) return;
-  for (auto& [id, w] : jobs_) {
-    const bool over = w.reported_done || w.reported_cancelled;
-    if (over || !w.accepted) continue;
-    const Time since = std::max(w.last_answer_at, *faults_over_since_);
-    if (now - since > longest_unanswered) {
+  for (auto& [id, entry] : jobs_) {
+    const bool over = entry.reported_done || entry.reported_cancelled;
+    if (over || !entry.accepted) continue;
+    const Time since = std::max(entry.last_response_at, *faults_over_since_);
+    if (now - since > max_unanswered) {
       report_violation("forgotten " + id.value() + ": no answer", now);
-      w.last_answer_at = now;
+      entry.last_response_at = now;
     }
   }
 }
--- a/stand_ins/rules.hpp
+++ b/stand_ins/rules.hpp
@@ -1,5 +1,6 @@
-// What is true of jobs and tasks as workers and users see it, and PROTOCOL's rules on it. Written from PROTOCOL alone:
-// of the core it uses types. Sums are kept up to date, so that a start costs the same whatever the size of the fleet.
+// Tracks jobs and tasks as workers and users observe them, and checks PROTOCOL's rules. Implemented from PROTOCOL
+// alone; only types are shared with the core. Usage sums are incremental, so that the cost of a start does not depend
+// on the fleet size.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,25 +15,25 @@
 
 namespace martenwall::stand_ins {
 
-// Which of a user's sending and hearing came first. Much happens in one moment of virtual time: times do not tell.
+// Orders sent requests and received responses; many events share one instant of virtual time, so times do not.
 using Ordinal = std::uint64_t;
 
-// A job as its user knows it.
+// A job from its user's point of view.
 struct SubmittedJob {
   JobSpec spec;
-  double run_s = 10;                    // of its first task
-  double stagger_s = 0;                 // each further one takes so much longer
-  std::set<std::uint32_t> completed;    // tasks
-  std::set<std::uint32_t> begun_tasks;  // of an array: ran once
+  double run_s = 10;                      // run time of the first task
+  double stagger_s = 0;                   // added to the run time for each further task index
+  std::set<std::uint32_t> completed;      // task indexes
+  std::set<std::uint32_t> started_tasks;  // array jobs: tasks that ran at least once
   Time submitted{};
-  std::optional<Time> accepted, cancel_asked, reported_done, reported_cancelled;
+  std::optional<Time> accepted, cancel_requested, reported_done, reported_cancelled;
   Ordinal acceptance_order = 0, end_order = 0;
-  Time last_answer_at{};                            // the last answer to any question about it
-  std::optional<Time> waiting_with_capacity_since;  // waits since then, and could have begun
-  std::optional<Time> begun;                        // all its tasks ran, or of a gang run
+  Time last_response_at{};                          // last response to any request about this job
+  std::optional<Time> waiting_with_capacity_since;  // has been waiting since then although it could start
+  std::optional<Time> started;                      // all tasks of the array started once, or the whole gang runs
 };
 
-// Where a task starts.
+// The machine on which a task starts.
 struct Place {
   MachineId machine;
   std::string type, zone;
@@ -52,46 +53,46 @@
 
   // A task begins to run on a machine: checks dependencies, duplicate runs, placement, quota and cancellation.
   void on_task_started(const TaskId& task, const Place& place, Time now);
-  // A task no longer runs on this machine.
-  void on_task_left(const TaskId& task, const MachineId& on);
-  // All tasks of a gang run.
+  // A task has stopped running on this machine.
+  void on_task_removed(const TaskId& task, const MachineId& on);
+  // All tasks of a gang are running.
   void on_gang_running(const JobId& job, Time now);
   // A task completed; repeated completions are ignored.
   void on_task_completed(const TaskId& task);
   // To be called when a user sends a request; the result is passed on with its response.
   [[nodiscard]] Ordinal on_request_sent() { return ++order_; }
-  // A user's answer to a request that was sent then; `phase` as PROTOCOL names it.
+  // Records the response to a request sent at `sent`; `phase` is the PROTOCOL name.
   void on_phase_reported(const JobId& id, const std::string& phase, Ordinal sent, Time now);
-  // A response (400, 404 or 422) by which the service denies knowing or accepting the job.
+  // Records a response (400, 404 or 422) saying that the job is unknown or not accepted.
   void on_permanent_refusal(const JobId& id, int status, Ordinal sent, Time now);
-  // 200 for a job that nobody submitted.
-  void on_unknown_job_known(const JobId& id, Time now);
-  // From `now` on these limits are asked for; a start may go by the ones before for `in_force`.
+  // Reports a violation: 200 was returned for a job that nobody submitted.
+  void on_unsubmitted_job_found(const JobId& id, Time now);
+  // Changes the requested limits at `now`; starts may follow the previous limits for `in_force`.
   void change_limits(std::vector<Team> teams, Time now, Duration in_force);
-  // The day is over.
+  // Ends the run: checks that at least one task started.
   void finish(Time now);
-  // With troubles over: whether it waits although a machine that fits has room and its team is under its limit.
-  void check_neglected(const JobId& id, bool so, Time now);
+  // To be called when faults are over; `could_start`: a machine that fits has capacity and the team is under its limit.
+  void check_neglected(const JobId& id, bool could_start, Time now);
   [[nodiscard]] bool faults_over() const { return faults_over_since_.has_value(); }
-  // Whether the job's team may run so many more of its tasks.
+  // Whether the job's team may run `more_tasks` further tasks of the job.
   [[nodiscard]] bool within_limit(const JobId& id, std::uint32_t more_tasks) const;
-  [[nodiscard]] std::set<std::uint32_t> on_machines(const JobId& id) const;  // tasks
-  void tick(Time now);                                                       // what is on a machine too long
+  [[nodiscard]] std::set<std::uint32_t> on_machines(const JobId& id) const;  // task indexes
+  void tick(Time now);  // checks for tasks left on machines after cancellation and for unanswered jobs
   void all_faults_over(Time now) { faults_over_since_ = now; }
 
   [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
   [[nodiscard]] std::size_t started() const { return started_; }
   [[nodiscard]] std::size_t tasks_on_machines() const;
-  // Starts after their user was told of the cancellation, within cancel_s: a start was on its way. Later ones break a
-  // rule.
+  // Tasks that started after the cancellation was reported to their user. Within cancel_s the start command may have
+  // been in flight; later starts are violations.
   [[nodiscard]] std::size_t started_after_cancel() const { return started_after_cancel_; }
-  // Called when a job's user first hears that it is accepted, done or cancelled.
-  std::function<void(const JobId&)> on_news;
+  // Called when a job is first reported to its user as accepted, done or cancelled.
+  std::function<void(const JobId&)> on_status_change;
   // Called when the last task of a job completes.
   std::function<void(const JobId&)> on_complete;
 
  private:
-  [[nodiscard]] bool asked_to_cancel(const JobId& id) const;
+  [[nodiscard]] bool cancellation_requested(const JobId& id) const;
   void report_violation(const std::string& what, Time now);
   void check_place(const TaskId& task, const Place& place, Time now);
   void check_limit(const std::string& team, Time now);
@@ -99,14 +100,14 @@
   [[nodiscard]] Resources used_by(const std::string& team) const;
   struct Limits {
     std::vector<Team> teams;
-    Time until = Time::max();  // a start may go by them
+    Time until = Time::max();  // starts may follow these limits until then
   };
-  using Holders = std::map<MachineId, std::string>;  // with their zones
+  using Holders = std::map<MachineId, std::string>;  // machine and its zone
   WorkerTimings timings_;
-  std::vector<Limits> limits_;  // the newest last
+  std::vector<Limits> limits_;  // newest last
   std::map<JobId, SubmittedJob> jobs_;
-  std::map<JobId, std::map<std::uint32_t, Holders>> on_;  // tasks on machines
-  std::map<std::string, Resources> used_;                 // by team
+  std::map<JobId, std::map<std::uint32_t, Holders>> holders_;  // by job and task index
+  std::map<std::string, Resources> used_;                      // by team name
   std::optional<Time> faults_over_since_;
   std::vector<std::string> violations_;
   Ordinal order_ = 0;
--- a/stand_ins/store_model.cpp
+++ b/stand_ins/store_model.cpp
@@ -9,10 +9,10 @@
 
 using nlohmann::json;
 
-// PROTOCOL, "Controller nodes -> state service".
+// Limits from PROTOCOL, "Controller nodes -> state service".
 constexpr std::size_t default_page = 1000;
 constexpr std::size_t page_bytes = 512 * 1024;
-constexpr std::size_t kept_changes = 10'000;
+constexpr std::size_t max_history_changes = 10'000;
 constexpr std::size_t txn_bytes = 64 * 1024;
 constexpr std::size_t conditions_per_change = 4;
 
@@ -35,9 +35,9 @@
 StoreModel::StoreModel(StoreLimits limits)
     : limits_(limits), requests_(limits.requests_per_s), changes_rate_(limits.changes_per_s) {}
 
-bool StoreModel::Bucket::take(double n, Time now) {
-  level_ = std::min(rate_, level_ + rate_ * to_seconds(now - counted_));
-  counted_ = now;
+bool StoreModel::TokenBucket::try_consume(double n, Time now) {
+  level_ = std::min(rate_, level_ + rate_ * to_seconds(now - refilled_at_));
+  refilled_at_ = now;
   const bool enough = level_ >= n;
   if (enough) level_ -= n;
   return enough;
@@ -58,8 +58,8 @@
 void StoreModel::record(Change change) {
   ++changes_made_;
   history_.push_back(std::move(change));
-  if (history_.size() <= kept_changes) return;
-  forgotten_ = history_.front().revision;
+  if (history_.size() <= max_history_changes) return;
+  compacted_revision_ = history_.front().revision;
   history_.pop_front();
 }
 
@@ -80,11 +80,11 @@
   if (std::exchange(was_down_, false)) {
     for (auto& [id, lease] : leases_) lease.until = now + lease.ttl;
   }
-  std::vector<std::uint64_t> over;
+  std::vector<std::uint64_t> expired;
   for (const auto& [id, lease] : leases_) {
-    if (now > lease.until) over.push_back(id);
+    if (now > lease.until) expired.push_back(id);
   }
-  for (const auto id : over) end_lease(id);
+  for (const auto id : expired) end_lease(id);
 }
 
 void StoreModel::end_lease(std::uint64_t id) {
@@ -98,8 +98,8 @@
   for (const auto& key : keys) remove(key);
 }
 
-StoreReply StoreModel::lease_call(const std::string& method, const std::string& target, const std::string& body,
-                                  Time now) {
+StoreReply StoreModel::handle_lease_request(const std::string& method, const std::string& target,
+                                            const std::string& body, Time now) {
   if (target == "/leases") {
     const Duration ttl = seconds(json::parse(body).at("ttlMs").get<double>() / 1000);
     const auto id = next_lease_++;
@@ -120,7 +120,7 @@
 // ---- reading ----
 
 StoreReply StoreModel::answer(const std::string& method, const std::string& target, const std::string& body, Time now) {
-  if (target.starts_with("/leases")) return lease_call(method, target, body, now);
+  if (target.starts_with("/leases")) return handle_lease_request(method, target, body, now);
   if (target.starts_with("/store?")) return page(query_of(target));
   const std::string key = target.substr(std::string{"/store/"}.size());
   const auto it = rows_.find(key);
@@ -132,14 +132,15 @@
   const std::string prefix = argument(query, "prefix");
   const std::string after = argument(query, "after");
   const std::string size = argument(query, "page");
-  const auto most = size.empty() ? default_page : std::min(default_page, static_cast<std::size_t>(std::stoul(size)));
+  const auto max_rows =
+      size.empty() ? default_page : std::min(default_page, static_cast<std::size_t>(std::stoul(size)));
   json rows = json::array();
   bool more = false;
   std::size_t bytes = 0;
   for (auto it = rows_.lower_bound(prefix); it != rows_.end() && it->first.starts_with(prefix); ++it) {
     if (!after.empty() && it->first <= after) continue;
     bytes += it->first.size() + it->second.value.dump().size();
-    more = rows.size() >= most || (bytes > page_bytes && !rows.empty());
+    more = rows.size() >= max_rows || (bytes > page_bytes && !rows.empty());
     if (more) break;
     rows.push_back({{"path", it->first}, {"data", it->second.value}, {"stamp", it->second.stamp}});
   }
@@ -153,8 +154,8 @@
           seconds(hold.empty() ? 0 : std::stod(hold) / 1000)};
 }
 
-std::optional<StoreReply> StoreModel::look(const Watch& watch, bool over) const {
-  if (watch.after < forgotten_) return reply(410, json::object());
+std::optional<StoreReply> StoreModel::poll_watch(const Watch& watch, bool hold_over) const {
+  if (watch.after < compacted_revision_) return reply(410, json::object());
   json events = json::array();
   for (auto c = std::ranges::upper_bound(history_, watch.after, {}, &Change::revision); c != history_.end(); ++c) {
     if (!c->key.starts_with(watch.prefix)) continue;
@@ -164,13 +165,13 @@
       events.push_back({{"remove", c->key}, {"stamp", c->revision}});
     }
   }
-  if (events.empty() && !over) return std::nullopt;
+  if (events.empty() && !hold_over) return std::nullopt;
   return reply(200, {{"epoch", revision_}, {"events", events}});
 }
 
 // ---- transactions ----
 
-std::optional<std::string> StoreModel::beyond_limits(const json& txn) const {
+std::optional<std::string> StoreModel::limit_error(const json& txn) const {
   if (txn.at("then").size() > limits_.txn_changes) return "too many changes";
   if (txn.at("when").size() > conditions_per_change * limits_.txn_changes) return "too many conditions";
   for (const auto& op : txn.at("then")) {
@@ -181,7 +182,7 @@
 
 StoreReply StoreModel::commit(const json& txn, Time now) {
   tick(now);
-  if (const auto beyond = beyond_limits(txn)) return reply(400, {{"error", *beyond}});
+  if (const auto error = limit_error(txn)) return reply(400, {{"error", *error}});
   for (const auto& op : txn.at("then")) {
     const bool dead = op.contains("tether") && !leases_.contains(op.at("tether").get<std::uint64_t>());
     if (dead) return reply(400, {{"error", "no such lease"}});
--- a/stand_ins/store_model.hpp
+++ b/stand_ins/store_model.hpp
@@ -1,4 +1,5 @@
-// The state service as PROTOCOL describes it: conditions, revisions, leases, watches, limits. No I/O and no clock.
+// Model of the state service as PROTOCOL describes it: conditions, revisions, leases, watches, limits. No I/O, no
+// clock.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -12,13 +13,13 @@
 
 namespace martenwall::stand_ins {
 
-// What it takes. The defaults are no limits.
+// Limits of the store. The defaults are practically unlimited.
 struct StoreLimits {
-  double requests_per_s = 1e9, changes_per_s = 1e9;  // bursts of one second's worth
+  double requests_per_s = 1e9, changes_per_s = 1e9;  // token buckets that hold one second's quota
   std::size_t value_bytes = 1U << 30U, txn_changes = 1U << 20U;
 };
 
-// A response as it goes over HTTP.
+// An HTTP response.
 struct StoreReply {
   int status = 200;
   std::string body;
@@ -28,13 +29,13 @@
 class StoreModel {
  public:
   explicit StoreModel(StoreLimits limits = {});
-  void tick(Time now);  // leases end, outages end
+  void tick(Time now);  // expires leases; renews all leases at the end of an outage
   void fail_until(Time until) { down_until_ = until; }
   [[nodiscard]] bool down(Time now) const { return now < down_until_; }
 
-  // Everything but transactions and watches.
+  // Handles all requests except transactions and watches.
   StoreReply answer(const std::string& method, const std::string& target, const std::string& body, Time now);
-  // Carries a transaction out, if its conditions hold.
+  // Applies a transaction if its conditions hold; 409 lists the failed ones.
   StoreReply commit(const nlohmann::json& txn, Time now);
   // A long poll for changes of keys with a prefix, after a revision.
   struct Watch {
@@ -43,28 +44,30 @@
     Duration hold{0};
   };
   static Watch parse_watch(const std::string& target);
-  // Nothing where the watch has nothing to tell; `over`: it may wait no longer.
-  [[nodiscard]] std::optional<StoreReply> look(const Watch& watch, bool over) const;
+  // Returns the response to a watch, or nothing if there are no events and the hold time is not over.
+  [[nodiscard]] std::optional<StoreReply> poll_watch(const Watch& watch, bool hold_over) const;
 
-  [[nodiscard]] bool takes_request(Time now) { return requests_.take(1, now); }
-  [[nodiscard]] bool takes_changes(std::size_t n, Time now) { return changes_rate_.take(static_cast<double>(n), now); }
-  void limit_changes(double per_second) { changes_rate_ = Bucket{per_second}; }
+  [[nodiscard]] bool admit_request(Time now) { return requests_.try_consume(1, now); }
+  [[nodiscard]] bool admit_changes(std::size_t n, Time now) {
+    return changes_rate_.try_consume(static_cast<double>(n), now);
+  }
+  void limit_changes(double per_second) { changes_rate_ = TokenBucket{per_second}; }
 
-  void write(const std::string& key, nlohmann::json value);  // by someone else
+  void write(const std::string& key, nlohmann::json value);  // writes as another client
   [[nodiscard]] bool has(const std::string& key) const { return rows_.contains(key); }
   [[nodiscard]] std::optional<nlohmann::json> value(const std::string& key) const;
   [[nodiscard]] std::size_t rows() const { return rows_.size(); }
-  [[nodiscard]] std::uint64_t changes() const { return changes_made_; }  // of keys
+  [[nodiscard]] std::uint64_t changes() const { return changes_made_; }  // key changes so far
 
  private:
-  class Bucket {
+  class TokenBucket {
    public:
-    explicit Bucket(double per_second) : rate_(per_second), level_(per_second) {}
-    bool take(double n, Time now);
+    explicit TokenBucket(double per_second) : rate_(per_second), level_(per_second) {}
+    bool try_consume(double n, Time now);
 
    private:
     double rate_, level_;
-    Time counted_{};
+    Time refilled_at_{};
   };
   struct Row {
     nlohmann::json value;
@@ -81,20 +84,21 @@
     Time until{};
   };
   [[nodiscard]] StoreReply page(const std::string& query) const;
-  StoreReply lease_call(const std::string& method, const std::string& target, const std::string& body, Time now);
-  [[nodiscard]] std::optional<std::string> beyond_limits(const nlohmann::json& txn) const;
+  StoreReply handle_lease_request(const std::string& method, const std::string& target, const std::string& body,
+                                  Time now);
+  [[nodiscard]] std::optional<std::string> limit_error(const nlohmann::json& txn) const;
   void put(const std::string& key, nlohmann::json value, std::uint64_t lease);
   void remove(const std::string& key);
   void record(Change change);
   void end_lease(std::uint64_t id);
 
   StoreLimits limits_;
-  Bucket requests_, changes_rate_;
+  TokenBucket requests_, changes_rate_;
   std::map<std::string, Row> rows_;
   std::map<std::uint64_t, Lease> leases_;
   std::deque<Change> history_;
   std::uint64_t revision_ = 0, next_lease_ = 1, changes_made_ = 0;
-  std::uint64_t forgotten_ = 0;  // the newest revision that the history lacks
+  std::uint64_t compacted_revision_ = 0;  // newest revision dropped from the history
   Time down_until_{};
   bool was_down_ = false;
 };
--- a/stand_ins/worker_model.cpp
+++ b/stand_ins/worker_model.cpp
@@ -9,13 +9,13 @@
 using nlohmann::json;
 
 namespace {
-constexpr Duration next_node_after = seconds(1);
+constexpr Duration next_target_delay = seconds(1);
 }  // namespace
 
 // ---- images ----
 
 Time ImageCache::ready_at(const JobSpec& spec, Time now, const std::function<Duration()>& fetch) {
-  if (most_gb_ <= 0) return now + fetch();
+  if (max_gb_ <= 0) return now + fetch();
   const auto known = std::ranges::find(images_, spec.image, &Image::name);
   Image image{spec.image, spec.image_gb, {}};
   if (known != images_.end()) {
@@ -25,10 +25,10 @@
     image.ready = now + fetch();
   }
   images_.insert(images_.begin(), image);
-  double held = 0;
-  for (const auto& i : images_) held += i.gb;
-  while (held > most_gb_ && images_.size() > 1) {
-    held -= images_.back().gb;
+  double cached_gb = 0;
+  for (const auto& i : images_) cached_gb += i.gb;
+  while (cached_gb > max_gb_ && images_.size() > 1) {
+    cached_gb -= images_.back().gb;
     images_.pop_back();
   }
   return std::max(now, image.ready);
@@ -60,7 +60,7 @@
 }
 
 Resources WorkerModel::free() const {
-  Resources free = traits_.room;
+  Resources free = traits_.capacity;
   for (const auto& [key, t] : tasks_) {
     if (t.phase != Phase::ended) free.add(spec_of(key).need, -1);
   }
@@ -76,19 +76,19 @@
   return std::ranges::any_of(tasks_, [](const auto& t) { return t.second.phase != Phase::ended; });
 }
 
-void WorkerModel::forget_all() {
-  for (const auto& [key, t] : tasks_) world_.rules.on_task_left(key.first, traits_.id);
+void WorkerModel::drop_all_tasks() {
+  for (const auto& [key, t] : tasks_) world_.rules.on_task_removed(key.first, traits_.id);
   tasks_.clear();
   gang_tasks_ = 0;
 }
 
-void WorkerModel::take_away() {
+void WorkerModel::terminate() {
   gone_ = true;
-  forget_all();
+  drop_all_tasks();
 }
 
 void WorkerModel::restart(Time now) {
-  forget_all();
+  drop_all_tasks();
   images_.clear();
   ++incarnation_;
   lease_renewed_at_ = now;
@@ -111,7 +111,7 @@
       .dump();
 }
 
-bool WorkerModel::take_answer(const json& body, std::uint64_t incarnation, Time sent, Time now) {
+bool WorkerModel::apply_response(const json& body, std::uint64_t incarnation, Time sent, Time now) {
   if (gone_ || incarnation != incarnation_ || !body.is_object() || !body.contains("baton")) return false;
   const auto token = body.at("baton").get<std::uint64_t>();
   if (token < token_) return false;
@@ -178,7 +178,7 @@
   t.phase = Phase::ended;
   t.cause = cause;
   changed_ = true;
-  if (was_on) world_.rules.on_task_left(key.first, traits_.id);
+  if (was_on) world_.rules.on_task_removed(key.first, traits_.id);
   if (!fetching) return;
   const bool wanted = std::ranges::any_of(tasks_, [&](const auto& other) {
     return other.second.phase == Phase::fetching && spec_of(other.first).image == spec.image;
@@ -223,10 +223,10 @@
 
 void WorkerModel::tick(Time now, bool hangs) {
   if (!up(now)) return;
-  // One that hangs may go on within its lease, and no longer.
+  // A worker that hangs keeps its tasks only until its lease expires.
   if (now - lease_renewed_at_ > seconds(world_.timings.lease_s)) {
     lost_to_lease_ += tasks_.size();
-    forget_all();
+    drop_all_tasks();
     ++incarnation_;
     lease_renewed_at_ = now;
     changed_ = true;
@@ -249,7 +249,7 @@
     }
   }
   target = (target + 1) % controllers.size();
-  next_heartbeat = now + next_node_after;
+  next_heartbeat = now + next_target_delay;
   return false;
 }
 
--- a/stand_ins/worker_model.hpp
+++ b/stand_ins/worker_model.hpp
@@ -1,5 +1,5 @@
-// A machine's worker as PROTOCOL describes it: sessions, tokens, tasks, images and commands. No I/O and no clock:
-// whoever owns it carries its reports to a controller and hands it what comes back.
+// Model of a machine's worker as PROTOCOL describes it: incarnations, fencing tokens, tasks, images and commands. No
+// I/O and no clock: the owner sends its heartbeats to a controller and passes the responses back.
 #pragma once
 #include <functional>
 #include <map>
@@ -12,29 +12,29 @@
 
 namespace martenwall::stand_ins {
 
-// What a machine is.
+// Static properties of a machine.
 struct MachineTraits {
   MachineId id;
   std::string endpoint, type, zone;
   bool spot = false;
-  Resources room;
-  double cache_gb = 0;  // of images; 0: none is kept, each task fetches its own
+  Resources capacity;
+  double cache_gb = 0;  // image cache; 0: no cache, each task fetches its own image
 };
 
-// What workers share.
+// State shared by all workers.
 struct WorkerContext {
   Rules& rules;
   WorkerTimings timings;
-  std::function<double(const JobSpec&)> fetch_s;  // how long the image of such a job takes to come, drawn anew
+  std::function<double(const JobSpec&)> fetch_s;  // image fetch time for such a job, drawn on each call
 };
 
-// The images of one machine: fetched once for all tasks that wait, the most recently used ones kept.
+// The image cache of one machine: one fetch serves all waiting tasks; the least recently used images are evicted.
 class ImageCache {
  public:
-  explicit ImageCache(double most_gb) : most_gb_(most_gb) {}
-  // When the image is there; `fetch` is the time of a fetch that has to begin now.
+  explicit ImageCache(double max_gb) : max_gb_(max_gb) {}
+  // Returns when the image is available; `fetch` gives the duration of a fetch that has to begin now.
   Time ready_at(const JobSpec& spec, Time now, const std::function<Duration()>& fetch);
-  void abandon_fetch(const std::string& image, Time now);  // no task waits for it any more
+  void abandon_fetch(const std::string& image, Time now);  // when no task waits for the image
   void clear() { images_.clear(); }
 
  private:
@@ -43,7 +43,7 @@
     double gb = 0;
     Time ready{};
   };
-  double most_gb_;
+  double max_gb_;
   std::vector<Image> images_;  // most recently used first
 };
 
@@ -51,21 +51,21 @@
 class WorkerModel {
  public:
   WorkerModel(WorkerContext& world, MachineTraits traits, Time boots);
-  void tick(Time now, bool hangs);  // tasks, and the end of its lease; a machine that hangs only loses its lease
-  void take_away();                 // the machine and all that is on it are gone
-  void restart(Time now);           // the same machine anew: all tasks gone, the next session
+  void tick(Time now, bool hangs);  // advances tasks and lease expiry; if it hangs, lease expiry only
+  void terminate();                 // the machine and all its tasks disappear
+  void restart(Time now);           // drops all tasks and starts the next incarnation
 
-  // The body of a report, or of an answer to a command.
+  // Returns the body of a heartbeat or of a command response.
   [[nodiscard]] std::string report();
-  // A controller's answer with 200 to a report of that session, sent then; false where it is dropped.
-  bool take_answer(const nlohmann::json& body, std::uint64_t incarnation, Time sent, Time now);
+  // Applies a 200 response to a heartbeat of that incarnation, sent at `sent`. Returns false if it is dropped.
+  bool apply_response(const nlohmann::json& body, std::uint64_t incarnation, Time sent, Time now);
   struct Reply {
     int status = 200;
     std::string body;
     bool executed = false;
   };
   Reply commands(const nlohmann::json& body, Time now);
-  // Something changed since the last call that is worth a report.
+  // Whether something worth an early heartbeat changed since `reported()`.
   [[nodiscard]] bool changed() const { return changed_; }
   void reported() { changed_ = false; }
 
@@ -73,14 +73,14 @@
   void set_endpoint(std::string endpoint) { traits_.endpoint = std::move(endpoint); }
   [[nodiscard]] bool up(Time now) const { return !gone_ && now >= boots_; }
   [[nodiscard]] bool gone() const { return gone_; }
-  // Whether any task on it has not ended.
+  // Whether any task has not ended.
   [[nodiscard]] bool busy() const;
-  // What the tasks that have not ended leave of the machine.
+  // Returns the capacity that is not used by tasks that have not ended.
   [[nodiscard]] Resources free() const;
-  [[nodiscard]] bool has(const JobId& job) const;  // a task of it, in any state but ended
+  [[nodiscard]] bool has(const JobId& job) const;  // whether any task of the job has not ended
   [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
   [[nodiscard]] std::uint64_t token() const { return token_; }
-  [[nodiscard]] std::size_t lost_to_lease() const { return lost_to_lease_; }  // tasks
+  [[nodiscard]] std::size_t lost_to_lease() const { return lost_to_lease_; }  // tasks lost to lease expiry
 
  private:
   enum class Phase { fetching, gathering, running, saving, ended };
@@ -91,14 +91,14 @@
     Time since{}, until{};
     std::optional<Time> peer_lost;
   };
-  using Key = std::pair<TaskId, std::uint64_t>;  // with the attempt
+  using Key = std::pair<TaskId, std::uint64_t>;  // task and attempt
   static const char* name_of(Phase phase);
   void execute(const nlohmann::json& command_list, Time now);
   void begin_task(const Key& key, Time now);
   void stop_task(TaskOnMachine& task, const Key& key, double grace_s, Time now);
   void end_task(TaskOnMachine& task, const Key& key, const char* cause, Time now);
   void step_task(const Key& key, TaskOnMachine& task, Time now);
-  void forget_all();
+  void drop_all_tasks();
   [[nodiscard]] const JobSpec& spec_of(const Key& key) const { return world_.rules.job(key.first.job).spec; }
   friend class Gangs;
 
@@ -111,22 +111,23 @@
   bool changed_ = false;
   ImageCache images_;
   std::map<Key, TaskOnMachine> tasks_;
-  std::size_t gang_tasks_ = 0;  // not ended
+  std::size_t gang_tasks_ = 0;  // that have not ended
   std::size_t lost_to_lease_ = 0;
 };
 
-// Where a worker reports to, and when next.
+// The controller to which a worker sends heartbeats, and the time of the next one.
 struct HeartbeatRoute {
-  std::size_t target = 0;  // of the controllers
+  std::size_t target = 0;  // index into the controllers
   Time next_heartbeat{};
-  // PROTOCOL's table of responses; `status` 0: none in time. True for a 200, which the worker itself may still drop.
+  // Applies PROTOCOL's response table; `status` 0 means no response in time. Returns true for a 200, which the worker
+  // itself may still drop.
   bool follow(int status, const nlohmann::json& body, const std::vector<std::string>& controllers, Time now);
 };
 
-// The tasks of a gang find one another by their attempt, wherever they are.
+// Advances gangs: tasks with the same job and attempt form one gang, across machines.
 class Gangs {
  public:
-  // `workers`: all that are up and do not hang.
+  // `workers`: all workers that are up and do not hang.
   static void step(const std::vector<WorkerModel*>& workers, Time now);
 };
 
--- a/tests/failure_combinations_generated_test.cpp
+++ b/tests/failure_combinations_generated_test.cpp
@@ -1,4 +1,4 @@
-// Two troubles at once, generated: any two within seconds of each other, several times a day.
+// Generated fault combinations: any two faults within seconds of each other, several times a run.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -19,23 +19,23 @@
     switch (random_() % 24) {
       case 0:
         r_.store().faults(c).refuses_until = r_.now() + seconds(t);
-        return "refused alone";
+        return "store refuses one controller";
       case 1:
         r_.store().fail_for(seconds(t));
-        return "outage";
+        return "store outage";
       case 2:
         r_.kill_for(c, between(0.1, 8));
-        return "killed";
+        return "controller killed";
       case 3:
         for (std::size_t i = 0; i < r_.controllers(); ++i) r_.kill_for(i, between(0.1, 8));
-        return "all killed";
+        return "all controllers killed";
       case 4:
         r_.cut_links(c, t);
         return "links cut";
       case 5:
         r_.cut_links(c, t);
         r_.store().faults(c).refuses_until = r_.now() + seconds(t);
-        return "cut from the store and the others";
+        return "controller cut from the store and the other controllers";
       case 6:
         r_.store().slow_down(seconds(between(0.1, 1.2)), r_.now() + seconds(t));
         return "slow store";
@@ -45,12 +45,12 @@
         return "late writes";
       case 8:
         r_.environment().late_heartbeats = between(0.05, 0.4);
-        return "late reports";
+        return "late heartbeats";
       case 9:
         for (auto& w : r_.workers()) {
           if (between(0, 1) < 0.4) w->lose_downlink(seconds(t));
         }
-        return "deaf machines";
+        return "machines without downlink";
       case 10:
         for (auto& w : r_.workers()) {
           if (between(0, 1) < 0.4) w->hang(seconds(t));
@@ -60,25 +60,25 @@
         for (auto& w : r_.workers()) {
           if (between(0, 1) < 0.6) w->hold_next_start(seconds(between(2, 40)));
         }
-        return "held commands";
+        return "delayed commands";
       case 12:
         r_.freeze(c, between(0.5, 15));
-        return "frozen";
+        return "controller frozen";
       case 13:
         for (auto& w : r_.workers()) {
           if (between(0, 1) < 0.5) w->confine_to(c, seconds(t));
         }
-        return "machines that reach one controller alone";
+        return "machines that reach one controller only";
       case 14:
         for (auto& w : r_.workers()) {
-          if (between(0, 1) < 0.4) w->lose_everyone(seconds(t));
+          if (between(0, 1) < 0.4) w->lose_network(seconds(t));
         }
-        return "machines cut off";
+        return "machines disconnected";
       default:
         return inject_further(c, t);
     }
   }
-  // The jobs that users call off by these troubles.
+  // The jobs that cancellation faults choose from.
   std::vector<JobId> jobs;
   std::string inject_further(std::size_t c, double t) {
     switch (random_() % 9) {
@@ -86,45 +86,45 @@
         for (std::size_t i = 0; i < r_.controllers(); ++i) {
           auto& faults = r_.store().faults(i);
           faults.late_share = between(0.05, 0.5);
-          faults.at_once = true;
+          faults.apply_at_once = true;
           faults.late_until = r_.now() + seconds(t);
         }
-        return "only answers lost";
+        return "only responses lost";
       case 1:
         r_.environment().retained_heartbeats = between(0.05, 0.5);
         r_.environment().retained_for_s = between(0, 1) < 0.5 ? 0 : between(0, 15);
-        return "old reports for the next leader";
+        return "old heartbeats for the next leader";
       case 2:
         for (auto& w : r_.workers()) {
           if (between(0, 1) < 0.4) w->lose_uplink(seconds(t));
         }
-        return "mute machines";
+        return "machines without uplink";
       case 3:
         r_.cut_zone(between(0, 1) < 0.5 ? "a" : "b", c, t);
         return "zone cut off with a controller";
       case 4:
         cancel_jobs(0);
-        return "jobs called off at once";
+        return "jobs cancelled together";
       case 5:
         cancel_jobs(t);
-        return "jobs called off, their machines hang";
+        return "jobs cancelled, their machines hang";
       case 6:
         for (std::size_t i = 0; i < r_.controllers(); ++i) r_.kill_for(i, t);
-        return "all away";
+        return "all controllers down";
       case 7:
         r_.environment().fetch_s = between(1, 8);
-        r_.environment().fetch_more_s = between(1, 20);
+        r_.environment().max_extra_fetch_s = between(1, 20);
         return "slow links";
       default:
         r_.cancel_at_end(between(0.1, 0.6));
-        return "called off at the end";
+        return "jobs cancelled at their end";
     }
   }
   double between(double a, double b) { return std::uniform_real_distribution<>{a, b}(random_); }
   std::uint64_t number() { return random_(); }
 
  private:
-  // Within a fifth of a second; up to eight of their machines hang so long.
+  // Cancels about half of the jobs in quick succession; up to eight of their machines hang for `hang_s`.
   void cancel_jobs(double hang_s) {
     std::size_t hanging = 0;
     for (const auto& id : jobs) {
@@ -164,8 +164,9 @@
   return s;
 }
 
-// One day of a region: users submit, ask and cancel at any controller, while troubles meet. Returns what befell it.
-std::string play_day(std::uint64_t seed, std::string& violations) {
+// Runs a region for about 90 s and then until all jobs end: users submit, poll and cancel at any controller while
+// faults coincide. Returns the injected faults.
+std::string run_generated_faults(std::uint64_t seed, std::string& violations) {
   region::RegionOptions options;
   options.relay = seed % 4 != 0;
   options.controllers = seed % 5 == 0 ? 5 : 3;
@@ -175,7 +176,7 @@
   FaultGenerator generator{r, seed ^ 0x5eedU};
   std::string what;
   r.run_until(20, [&] { return r.leader().has_value(); });
-  if (seed % 3 != 1) r.look_closely(seed % 2 == 0 ? 0.2 : 0);
+  if (seed % 3 != 1) r.query_intensively(seed % 2 == 0 ? 0.2 : 0);
   auto& jobs = generator.jobs;
   for (int i = 0; i < 90; ++i) {
     if (i < 60 && generator.between(0, 1) < 0.25)
@@ -190,13 +191,13 @@
     }
     r.run(1);
   }
-  r.run(30);  // the longest trouble
+  r.run(30);  // the longest fault
   r.environment().late_heartbeats = r.environment().retained_heartbeats = 0;
   r.environment().retained.clear();
-  r.environment().fetch_s = r.environment().fetch_more_s = 1;
+  r.environment().fetch_s = r.environment().max_extra_fetch_s = 1;
   r.rules().on_complete = nullptr;
   r.rules().all_faults_over(r.now());
-  const bool over = r.run_until(600, [&] { return r.all_over() || !r.rules().violations().empty(); });
+  const bool over = r.run_until(600, [&] { return r.all_ended() || !r.rules().violations().empty(); });
   if (r.rules().violations().empty()) r.run(40);
   violations = r.violations();
   if (!over) violations += "jobs that never end: " + r.unfinished() + "\n";
@@ -205,7 +206,7 @@
 
 RC_GTEST_PROP(failure_combinations, keep_every_rule_whichever_two_faults_coincide, (std::uint64_t seed)) {
   std::string violations;
-  const auto what = play_day(seed, violations);
+  const auto what = run_generated_faults(seed, violations);
   if (!violations.empty()) RC_FAIL("seed " + std::to_string(seed) + ": " + what + "\n" + violations);
 }
 
--- a/tests/heartbeat_relay_test.cpp
+++ b/tests/heartbeat_relay_test.cpp
@@ -19,7 +19,7 @@
 
 Time at(double s) { return Time{seconds(100 + s)}; }
 
-// ---- the way to the leader ----
+// ---- link to the leader ----
 
 TEST(leader_link, heartbeats_are_held_through_an_election_and_redirected_when_only_the_link_fails) {
   LeaderLink link{seconds(2)};
@@ -30,14 +30,15 @@
   link.on_batch_result(false, at(10));
   EXPECT_EQ(LinkState::suspected, link.state());
   link.on_probe_result(ProbeResult::none, at(11));
-  EXPECT_EQ(RoutingAdvice::wait, link.advice()) << "a dead leader keeps its lease for so long: another will lead soon";
+  EXPECT_EQ(RoutingAdvice::wait, link.advice()) << "a crashed leader's lease lasts this long: a new election follows";
   link.set_leader("b", at(12));
   link.on_probe_result(ProbeResult::follower, at(12.1));
   EXPECT_EQ(RoutingAdvice::wait, link.advice());
   link.on_probe_result(ProbeResult::leader, at(12.2));
   EXPECT_EQ(RoutingAdvice::forward, link.advice());
   for (const double s : {20.0, 21.0, 22.0, 23.0}) link.on_probe_result(ProbeResult::none, at(s));
-  EXPECT_EQ(RoutingAdvice::redirect, link.advice()) << "its lease would have ended: it lives, and the link does not";
+  EXPECT_EQ(RoutingAdvice::redirect, link.advice())
+      << "the lease would have expired: the leader is alive and only the link failed";
   link.on_probe_result(ProbeResult::leader, at(24));
   EXPECT_EQ(RoutingAdvice::forward, link.advice());
 }
@@ -48,13 +49,13 @@
   link.on_probe_result(ProbeResult::unsupported, at(0.1));
   EXPECT_EQ(RoutingAdvice::redirect, link.advice());
   link.probe_sent(at(0.1));
-  EXPECT_FALSE(link.probe_due(at(0.5))) << "nothing waits for the answer";
-  EXPECT_TRUE(link.probe_due(at(1.2))) << "it may be replaced by a newer version";
+  EXPECT_FALSE(link.probe_due(at(0.5))) << "no heartbeat waits for the probe result";
+  EXPECT_TRUE(link.probe_due(at(1.2))) << "the leader may be upgraded";
   link.set_leader("", at(1));
   EXPECT_EQ(RoutingAdvice::wait, link.advice());
 }
 
-// Whatever comes, a link that was answered last is used, and one never answered by a leader is not.
+// The link is used if and only if the current leader answered the last probe and no batch has failed since.
 TEST(leader_link, generated_events_keep_every_invariant) {
   rc::check([] {
     LeaderLink link{seconds(2)};
@@ -69,9 +70,9 @@
         leader = next;
         link.set_leader(leader, at(now));
       } else if (event < 6) {
-        const auto said = static_cast<ProbeResult>(event - 2);
-        link.on_probe_result(said, at(now));
-        answered = said == ProbeResult::leader && !leader.empty();
+        const auto result = static_cast<ProbeResult>(event - 2);
+        link.on_probe_result(result, at(now));
+        answered = result == ProbeResult::leader && !leader.empty();
       } else {
         link.on_batch_result(false, at(now));
         answered = false;
@@ -82,27 +83,28 @@
   });
 }
 
-// ---- which node a worker reports to ----
+// ---- balancing workers over nodes ----
 
 struct Fleet {
   std::vector<std::string> names{"a", "b", "c"};
   std::vector<relay::WorkerBalancer> nodes;
-  std::vector<std::size_t> workers, room;
-  explicit Fleet(std::vector<std::size_t> w, std::vector<std::size_t> r) : workers(std::move(w)), room(std::move(r)) {
+  std::vector<std::size_t> workers, capacity;
+  explicit Fleet(std::vector<std::size_t> w, std::vector<std::size_t> r)
+      : workers(std::move(w)), capacity(std::move(r)) {
     for (const auto& n : names) nodes.emplace_back(n, 0.5);
     for (auto& n : nodes) n.set_leader("a");
   }
-  // One second: all tell each other, and each worker reports once.
+  // Simulates one second: all nodes exchange their load, and each worker sends one heartbeat.
   std::size_t second(double now, std::size_t& closed) {
     std::size_t moved = 0;
     for (std::size_t i = 0; i < 3; ++i) {
-      for (std::size_t j = 0; j < 3; ++j) nodes[i].on_node_load(names[j], {workers[j], room[j]}, at(now));
+      for (std::size_t j = 0; j < 3; ++j) nodes[i].on_node_load(names[j], {workers[j], capacity[j]}, at(now));
     }
     const auto before = workers;
     for (std::size_t i = 0; i < 3; ++i) {
       for (std::size_t w = 0; w < before[i]; ++w) {
         const auto p = nodes[i].assign(MachineId{names[i] + std::to_string(now) + std::to_string(w)},
-                                       {workers[i], room[i]}, at(now + 0.9 * static_cast<double>(w) / 2000));
+                                       {workers[i], capacity[i]}, at(now + 0.9 * static_cast<double>(w) / 2000));
         if (p.kind == relay::Assignment::Kind::keep_and_close) ++closed;
         if (p.kind != relay::Assignment::Kind::move) continue;
         ++moved;
@@ -117,9 +119,9 @@
 TEST(worker_balancer, a_node_that_has_nearly_all_workers_redirects_until_each_has_its_share_and_then_none) {
   Fleet f{{1500, 20, 0}, {1555, 1555, 1555}};
   std::size_t closed = 0;
-  std::size_t most = 0;
-  for (int s = 0; s < 200; ++s) most = std::max(most, f.second(s, closed));
-  EXPECT_LE(most, 62U) << "a rush of reconnections";
+  std::size_t max_moved = 0;
+  for (int s = 0; s < 200; ++s) max_moved = std::max(max_moved, f.second(s, closed));
+  EXPECT_LE(max_moved, 62U) << "too many reconnections in one second";
   EXPECT_NEAR(304, static_cast<double>(f.workers[0]), 70);  // half a share
   EXPECT_NEAR(608, static_cast<double>(f.workers[1]), 130);
   EXPECT_NEAR(608, static_cast<double>(f.workers[2]), 130);
@@ -140,30 +142,30 @@
 }
 
 TEST(worker_balancer, no_worker_is_redirected_to_a_node_that_workers_come_back_from) {
-  relay::WorkerBalancer share{"b", 0.5};
-  share.on_node_load("a", {0, 1000}, at(0));
+  relay::WorkerBalancer balancer{"b", 0.5};
+  balancer.on_node_load("a", {0, 1000}, at(0));
   const MachineId worker{"i-1"};
-  const auto first = share.assign(worker, {500, 1000}, at(0));
+  const auto first = balancer.assign(worker, {500, 1000}, at(0));
   ASSERT_EQ(relay::Assignment::Kind::move, first.kind);
   EXPECT_EQ("a", first.to);
-  share.on_node_load("a", {0, 1000}, at(5));
-  EXPECT_EQ(relay::Assignment::Kind::keep, share.assign(worker, {500, 1000}, at(5)).kind);
-  EXPECT_EQ(relay::Assignment::Kind::keep, share.assign(MachineId{"i-2"}, {500, 1000}, at(6)).kind);
-  share.on_node_load("a", {0, 1000}, at(40));
-  EXPECT_EQ(relay::Assignment::Kind::move, share.assign(MachineId{"i-2"}, {500, 1000}, at(40)).kind);
+  balancer.on_node_load("a", {0, 1000}, at(5));
+  EXPECT_EQ(relay::Assignment::Kind::keep, balancer.assign(worker, {500, 1000}, at(5)).kind);
+  EXPECT_EQ(relay::Assignment::Kind::keep, balancer.assign(MachineId{"i-2"}, {500, 1000}, at(6)).kind);
+  balancer.on_node_load("a", {0, 1000}, at(40));
+  EXPECT_EQ(relay::Assignment::Kind::move, balancer.assign(MachineId{"i-2"}, {500, 1000}, at(40)).kind);
 }
 
 // ---- batches ----
 
-std::string encoded(std::vector<Heartbeat> reports) {
+std::string encoded(std::vector<Heartbeat> heartbeats) {
   wire::HeartbeatBatch batch;
   batch.sender.node = "node";
   batch.sender.capacity = 9;
-  batch.heartbeats = std::move(reports);
+  batch.heartbeats = std::move(heartbeats);
   return wire::encode_batch(batch);
 }
 
-rc::Gen<Heartbeat> any_report() {
+rc::Gen<Heartbeat> random_heartbeat() {
   return rc::gen::exec([] {
     Heartbeat r;
     r.machine = MachineId{"i-" + std::to_string(*rc::gen::inRange(0, 99999))};
@@ -187,16 +189,16 @@
 
 TEST(heartbeat_codec, a_forwarded_batch_is_decoded_unchanged_and_fits_its_bound) {
   rc::check([] {
-    const auto reports = *rc::gen::container<std::vector<Heartbeat>>(any_report());
-    const auto bytes = encoded(reports);
-    const auto back = wire::decode_batch(bytes);
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(back->sender.capacity == 9U);
-    RC_ASSERT(back->heartbeats.size() == reports.size());
+    const auto heartbeats = *rc::gen::container<std::vector<Heartbeat>>(random_heartbeat());
+    const auto bytes = encoded(heartbeats);
+    const auto decoded = wire::decode_batch(bytes);
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(decoded->sender.capacity == 9U);
+    RC_ASSERT(decoded->heartbeats.size() == heartbeats.size());
     std::size_t bound = 64;
-    for (std::size_t i = 0; i < reports.size(); ++i) {
-      const auto& a = reports[i];
-      const auto& b = back->heartbeats[i];
+    for (std::size_t i = 0; i < heartbeats.size(); ++i) {
+      const auto& a = heartbeats[i];
+      const auto& b = decoded->heartbeats[i];
       bound += wire::encoded_size(a);
       RC_ASSERT(a.machine == b.machine && a.addr == b.addr && a.type == b.type && a.spot == b.spot);
       RC_ASSERT(a.incarnation == b.incarnation && a.sequence == b.sequence && a.token == b.token &&
@@ -212,14 +214,14 @@
   });
 }
 
-// A task left out would be taken for absent: nothing that is cut short or changed may pass for a shorter report.
+// A missing task counts as absent: a truncated or altered batch must not decode as a shorter heartbeat.
 TEST(heartbeat_codec, a_batch_that_cannot_be_read_whole_is_not_read) {
   rc::check([] {
-    const auto bytes = encoded({*any_report(), *any_report()});
+    const auto bytes = encoded({*random_heartbeat(), *random_heartbeat()});
     const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
     RC_ASSERT(!wire::decode_batch(std::string_view{bytes}.substr(0, cut)));
     RC_ASSERT(!wire::decode_batch(bytes + "x"));
-    wire::decode_batch(*rc::gen::arbitrary<std::string>());  // ends, whatever comes
+    wire::decode_batch(*rc::gen::arbitrary<std::string>());  // terminates for any input
     wire::decode_responses(*rc::gen::arbitrary<std::string>());
   });
 }
@@ -269,7 +271,7 @@
   return p;
 }
 
-// Everything of a node that reports pass through.
+// The parts of a node that handle heartbeats.
 struct RelayNode {
   Context ctx;
   StoreClient state{ctx};
@@ -278,7 +280,7 @@
   ConfigurationService configuration{ctx, state};
   LeaderService store{ctx, state, rows, levels, configuration};
   WorkerService workers{ctx, store};
-  bool refuses = false;  // its peers' requests
+  bool refuses = false;  // responds 503 to its peers' requests
   bool old_version = false;
   PeerService peers;
   HeartbeatRelay relay{ctx, peers, workers};
@@ -321,12 +323,12 @@
            R"(","endpoint":"127.0.0.1:9","breed":"g8","yard":"a","tenure":1,"tick":)" + std::to_string(sequence) +
            R"(,"baton":)" + std::to_string(token) + R"(,"shards":[]})";
   }
-  rt::Task<void> ask(std::string body, std::optional<rt::HttpResponse>& out) {
+  rt::Task<void> send_heartbeat(std::string body, std::optional<rt::HttpResponse>& out) {
     out = co_await other.relay.on_heartbeat(std::move(body));
   }
-  rt::HttpResponse answer_of(std::string body) {
+  rt::HttpResponse response_to(std::string body) {
     std::optional<rt::HttpResponse> out;
-    rt::spawn(ask(std::move(body), out));
+    rt::spawn(send_heartbeat(std::move(body), out));
     const Time until = loop.update_time() + seconds(30);
     while (!out && loop.now() < until) loop.step();
     return out.value_or(rt::HttpResponse{0, "", {}, false});
@@ -338,7 +340,8 @@
   t.leader.lead(12);
   t.other.ctx.leader = "lead";
   std::vector<std::optional<rt::HttpResponse>> out(150);
-  for (int i = 0; i < 150; ++i) rt::spawn(t.ask(RelayPair::report(i, 1, 0), out[static_cast<std::size_t>(i)]));
+  for (int i = 0; i < 150; ++i)
+    rt::spawn(t.send_heartbeat(RelayPair::report(i, 1, 0), out[static_cast<std::size_t>(i)]));
   const auto missing = [&] { return std::ranges::any_of(out, [](const auto& r) { return !r.has_value(); }); };
   const Time until = t.loop.update_time() + seconds(30);
   while (missing() && t.loop.now() < until) t.loop.step();
@@ -350,16 +353,16 @@
   EXPECT_EQ(150U, t.leader.ctx.scheduler->machines().size());
 }
 
-// It must never say 200 of its own: such an answer would keep the worker while its lease runs out.
+// A follower must never respond 200 itself: the worker would stay with it while its lease expires.
 TEST(heartbeat_relay, workers_are_redirected_while_no_leader_accepts_them) {
   RelayPair t;
-  t.other.ctx.leader = "lead";  // it does not lead any more: the other learns that only from its answers
-  EXPECT_EQ(421, t.answer_of(RelayPair::report(1, 1, 0)).status);
+  t.other.ctx.leader = "lead";  // this node does not lead, which the follower learns only from its responses
+  EXPECT_EQ(421, t.response_to(RelayPair::report(1, 1, 0)).status);
   t.leader.lead(12);
-  t.leader.refuses = true;  // reports; a link that is up and a node that says no
-  const auto r = t.answer_of(RelayPair::report(1, 2, 0));
+  t.leader.refuses = true;  // refuses heartbeats although the link works
+  const auto r = t.response_to(RelayPair::report(1, 2, 0));
   EXPECT_EQ(421, r.status);
-  EXPECT_NE(std::string::npos, r.body.find("lead")) << "the worker may get through where this node does not";
+  EXPECT_NE(std::string::npos, r.body.find("lead")) << "the worker may reach a node that this node cannot";
   EXPECT_GE(t.other.ctx.redirected_workers.stranded(t.loop.now()), 1U);
 }
 
@@ -368,7 +371,7 @@
   t.leader.lead(12);
   t.leader.old_version = true;
   t.other.ctx.leader = "lead";
-  EXPECT_EQ(421, t.answer_of(RelayPair::report(1, 1, 0)).status);
+  EXPECT_EQ(421, t.response_to(RelayPair::report(1, 1, 0)).status);
   EXPECT_TRUE(t.leader.ctx.scheduler->machines().empty());
 }
 
@@ -376,7 +379,7 @@
   RelayPair t;
   t.leader.lead(12);
   t.other.ctx.leader = "lead";
-  EXPECT_EQ(421, t.answer_of(RelayPair::report(1, 1, 13)).status);
+  EXPECT_EQ(421, t.response_to(RelayPair::report(1, 1, 13)).status);
   EXPECT_EQ(nullptr, t.leader.ctx.scheduler);
 }
 
--- a/tests/region/addresses.hpp
+++ b/tests/region/addresses.hpp
@@ -1,4 +1,4 @@
-// Addresses on loopback.
+// Loopback addresses.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace martenwall::region {
 
-// Any free port.
+// Returns a loopback endpoint with an ephemeral port.
 inline rt::Endpoint any_port() { return *rt::Endpoint::parse("127.0.0.1:0"); }
 
 inline std::string at_port(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
--- a/tests/region/cloud.cpp
+++ b/tests/region/cloud.cpp
@@ -23,7 +23,7 @@
     return reply(200, known->second);
   json hosts = json::array();
   const auto count = wanted.at("count").get<std::size_t>();
-  for (std::size_t i = 0; i < count && workers_.size() < options_.most_machines; ++i) {
+  for (std::size_t i = 0; i < count && workers_.size() < options_.max_machines; ++i) {
     hosts.push_back(add_worker(wanted.at("yard"), wanted.at("loaners"), options_.boot_s).id().value());
   }
   if (hosts.empty()) return reply(503, {{"error", "no capacity"}});
@@ -45,7 +45,7 @@
       const auto& hosts = body.at("hosts");
       const bool named = std::ranges::any_of(hosts, [&](const json& h) { return h == w->id().value(); });
       if (named && w->busy()) ++released_busy_;
-      if (named) w->take_away();
+      if (named) w->terminate();
     }
     co_return reply(200, json::object());
   }
--- a/tests/region/controllers.cpp
+++ b/tests/region/controllers.cpp
@@ -60,12 +60,12 @@
   Policy policy;
   policy.relay_heartbeats = options_.relay;
   auto log = std::make_shared<spdlog::logger>(n.name, std::make_shared<LogSink>(n.log, now_));
-  log->set_level(spdlog::level::debug);  // tests look for what becomes of single tasks
+  log->set_level(spdlog::level::debug);  // tests match log lines of single tasks
   n.process->node = std::make_unique<service::Node>(n.process->loop, settings_of(c), policy, log);
   n.process->node->start();
 }
 
-// Its sockets are closed with its loop, as the kernel does; its coroutines are never resumed.
+// Destroying the loop closes the sockets, as the kernel does at process exit; coroutines are never resumed.
 void Region::kill(std::size_t c) {
   controllers_.at(c).process.reset();
   controllers_.at(c).starts_at = Time::max();
--- a/tests/region/links.cpp
+++ b/tests/region/links.cpp
@@ -33,13 +33,13 @@
   rt::spawn(forward_bytes(other, here, a, b));
 }
 
-// Both ends are closed once either is, or the link is cut.
+// Closes both sockets once either is closed or the link is cut.
 rt::Task<void> Region::forward_bytes(std::shared_ptr<rt::Socket> from, std::shared_ptr<rt::Socket> to, std::size_t a,
                                      std::size_t b) {
   std::array<char, 16384> buffer{};
   while (linked(a, b) && from->fd() >= 0) {
-    const Time next_look = loop_.now() + look_every;
-    const long n = co_await from->read_some(buffer.data(), buffer.size(), next_look);
+    const Time next_check = loop_.now() + poll_interval;
+    const long n = co_await from->read_some(buffer.data(), buffer.size(), next_check);
     if (n == 0 || (n < 0 && from->peer_closed())) break;
     if (n < 0) continue;
     if (!linked(a, b) || to->fd() < 0) break;
@@ -47,29 +47,30 @@
     const bool sent = co_await to->write_all(got, loop_.now() + seconds(5));
     if (!sent) break;
   }
-  // The other direction may wait on it: it sees the end by itself.
+  // The opposite direction may be waiting on these sockets: shutdown wakes it.
   if (to->fd() >= 0) ::shutdown(to->fd(), SHUT_RDWR);
   if (from->fd() >= 0) ::shutdown(from->fd(), SHUT_RDWR);
 }
 
-rt::Task<void> Region::ask_peer(std::size_t at, wire::ConfigurationRequest request, std::shared_ptr<PeerAnswer> asked) {
-  constexpr double patience = 12;
+rt::Task<void> Region::call_peer(std::size_t at, wire::ConfigurationRequest request,
+                                 std::shared_ptr<PeerResponse> response) {
+  constexpr double timeout_s = 12;
   const wire::PeerRequest frame{wire::PeerVerb::configuration, "", wire::encode_configuration_request(request), {}};
   rt::Endpoint to = *rt::Endpoint::parse(at_port(controllers_.at(at).process->node->peers_port()));
-  const Time deadline = loop_.now() + seconds(patience);
-  asked->reply = co_await service::call_once(loop_, std::move(to), wire::encode_frame(frame), deadline);
-  asked->over = true;
+  const Time deadline = loop_.now() + seconds(timeout_s);
+  response->reply = co_await service::call_once(loop_, std::move(to), wire::encode_frame(frame), deadline);
+  response->ended = true;
 }
 
 void Region::configure_later(std::size_t at, wire::ConfigurationRequest request) {
-  rt::spawn(ask_peer(at, std::move(request), std::make_shared<PeerAnswer>()));
+  rt::spawn(call_peer(at, std::move(request), std::make_shared<PeerResponse>()));
 }
 
 std::optional<wire::PeerReply> Region::configure(std::size_t at, wire::ConfigurationRequest request) {
-  const auto asked = std::make_shared<PeerAnswer>();
-  rt::spawn(ask_peer(at, std::move(request), asked));
-  run_until(13, [&] { return asked->over; });
-  return asked->reply;
+  const auto response = std::make_shared<PeerResponse>();
+  rt::spawn(call_peer(at, std::move(request), response));
+  run_until(13, [&] { return response->ended; });
+  return response->reply;
 }
 
 }  // namespace martenwall::region
--- a/tests/region/observers.cpp
+++ b/tests/region/observers.cpp
@@ -4,7 +4,7 @@
 
 namespace martenwall::region {
 
-// Copies of reports that were kept come to all controllers just as a new leader begins.
+// Sends retained heartbeats to all controllers when a new leader is elected.
 void Region::watch_leader() {
   const auto row = store_.value(wire::leader_key);
   if (!row || row->dump() == last_leader_) return;
@@ -16,11 +16,11 @@
 
 rt::Task<void> Region::deliver_retained(std::string body, std::size_t at) {
   co_await loop_.sleep(seconds(environment_.retained_for_s));
-  const auto r = co_await ask(at, "POST", "/agent/beat", std::move(body), 4);
+  const auto r = co_await send_request(at, "POST", "/agent/beat", std::move(body), 4);
   if (r.ok()) ++environment_.late_copies;
 }
 
-// Room now for a task that is missing, or for all of a gang.
+// Returns whether there is capacity for a missing task, or for all tasks of a gang.
 bool Region::could_start(const SubmittedJob& work) const {
   const auto& spec = work.spec;
   const auto on = rules_.on_machines(spec.id);
@@ -39,24 +39,24 @@
     if (allowed && spec.need.gpus > 0)
       places[w->zone()] += static_cast<std::size_t>(w->free_gpus() / spec.need.gpus + 1e-6);
   }
-  std::size_t most = 0;
-  const std::size_t most_each = spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;
+  std::size_t startable = 0;
+  const std::size_t max_per_zone = spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;
   for (const auto& [zone, n] : places) {
-    most = spec.one_zone ? std::max(most, n) : most + std::min(n, most_each);
+    startable = spec.one_zone ? std::max(startable, n) : startable + std::min(n, max_per_zone);
   }
-  // Of an array in one zone or spread over several other tasks decide the place: not judged here.
+  // For one-zone and spread arrays, other tasks restrict the placement: not judged here.
   if (!whole && (spec.one_zone || spec.spread) && fetching) return false;
-  return most >= (whole ? spec.tasks : 1);
+  return startable >= (whole ? spec.tasks : 1);
 }
 
 void Region::check_waiting_jobs() {
   for (const auto& [id, work] : rules_.jobs()) {
-    const bool open = work.accepted && !work.cancel_asked && work.completed.size() < work.spec.tasks;
+    const bool open = work.accepted && !work.cancel_requested && work.completed.size() < work.spec.tasks;
     rules_.check_neglected(id, open && could_start(work), now_);
   }
 }
 
-bool Region::all_over() const {
+bool Region::all_ended() const {
   const auto& works = rules_.jobs();
   return std::ranges::all_of(
       works, [](const auto& w) { return w.second.reported_done || w.second.reported_cancelled || !w.second.accepted; });
--- a/tests/region/region.cpp
+++ b/tests/region/region.cpp
@@ -22,7 +22,7 @@
       rules_(options.timings, {{"red", {0, 16, 0}, {0, options.team_gpus, 0}}}),
       environment_{loop_,
                    {rules_, options.timings,
-                    [this](const JobSpec&) { return environment_.fetch_s + environment_.fetch_more_s * roll(); }},
+                    [this](const JobSpec&) { return environment_.fetch_s + environment_.max_extra_fetch_s * roll(); }},
                    {},
                    {},
                    [this] { return roll(); }},
@@ -92,7 +92,7 @@
     rules_.tick(now_);
     watch_leader();
     if (rules_.faults_over()) check_waiting_jobs();
-    co_await loop_.sleep(look_every);
+    co_await loop_.sleep(poll_interval);
   }
 }
 
--- a/tests/region/store.cpp
+++ b/tests/region/store.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-constexpr Duration unanswered = seconds(30);  // longer than anyone waits
-constexpr Duration watch_look = seconds(0.02);
+constexpr Duration no_response_delay = seconds(30);  // longer than any client's timeout
+constexpr Duration watch_poll_interval = seconds(0.02);
 constexpr std::string_view row_path = "/store/";
 
 rt::HttpResponse to_http(stand_ins::StoreReply reply) { return {reply.status, std::move(reply.body), {}, false}; }
-rt::HttpResponse unavailable_reply() { return {503, R"({"error":"trouble"})", {}, false}; }
+rt::HttpResponse unavailable_reply() { return {503, R"({"error":"unavailable"})", {}, false}; }
 
 }  // namespace
 
@@ -22,8 +22,8 @@
 
 void Store::slow_down(Duration by, Time until) {
   for (auto& [from, faults] : faults_) {
-    faults.slower = by;
-    faults.slower_until = until;
+    faults.response_delay = by;
+    faults.delayed_until = until;
   }
 }
 
@@ -36,8 +36,8 @@
   }
   if (refuses(from)) co_return unavailable_reply();
   const auto& faults = faults_[from];
-  if (loop_.now() < faults.slower_until) co_await loop_.sleep(faults.slower);
-  if (request.target.starts_with("/leases")) co_await loop_.sleep(faults.leases_slower);
+  if (loop_.now() < faults.delayed_until) co_await loop_.sleep(faults.response_delay);
+  if (request.target.starts_with("/leases")) co_await loop_.sleep(faults.lease_delay);
   tick();
   if (refuses(from)) co_return unavailable_reply();
   if (request.target == "/multi") {
@@ -48,32 +48,32 @@
   co_return to_http(model_.answer(request.method, request.target, request.body, loop_.now()));
 }
 
-rt::HttpResponse Store::carry_out(const json& txn, bool late) {
+rt::HttpResponse Store::commit(const json& txn, bool late) {
   auto reply = model_.commit(txn, loop_.now());
   if (late && reply.status != 400) ++(reply.status == 200 ? late_ : late_refused_);
   if (reply.status == 200 && on_commit && !txn.at("then").empty()) on_commit(txn, late);
   return to_http(std::move(reply));
 }
 
-rt::Task<void> Store::carry_out_late(json txn, Duration after) {
+rt::Task<void> Store::commit_late(json txn, Duration after) {
   co_await loop_.sleep(after);
-  while (down()) co_await loop_.sleep(watch_look);
+  while (down()) co_await loop_.sleep(watch_poll_interval);
   tick();
-  carry_out(txn, true);
+  commit(txn, true);
 }
 
 rt::Task<rt::HttpResponse> Store::compare(std::size_t from, json txn) {
   ++comparisons_[from];
   std::optional<rt::HttpResponse> replaced;
   if (replace_comparison) replaced = replace_comparison(from, txn);
-  rt::HttpResponse answer = replaced ? std::move(*replaced) : carry_out(txn, false);
-  if (faults_[from].comparisons_held > Duration{0}) co_await loop_.sleep(faults_[from].comparisons_held);
+  rt::HttpResponse answer = replaced ? std::move(*replaced) : commit(txn, false);
+  if (faults_[from].comparison_delay > Duration{0}) co_await loop_.sleep(faults_[from].comparison_delay);
   co_return answer;
 }
 
 rt::Task<rt::HttpResponse> Store::multi(std::size_t from, json txn) {
   if (txn.at("then").empty()) co_return co_await compare(from, std::move(txn));
-  if (!model_.takes_changes(txn.at("then").size(), loop_.now())) {
+  if (!model_.admit_changes(txn.at("then").size(), loop_.now())) {
     ++refused_;
     co_return rt::HttpResponse{429, R"({"error":"too many changes"})", {}, false};
   }
@@ -81,16 +81,16 @@
   const bool drawn =
       loop_.now() < faults.late_until && std::uniform_real_distribution<>{0, 1}(random_) < faults.late_share;
   const bool named = which_late_ && which_late_(from, txn);
-  if (!drawn && !named) co_return carry_out(txn, false);
+  if (!drawn && !named) co_return commit(txn, false);
   const Duration drawn_after = seconds(std::uniform_real_distribution<>{2, 12}(random_));
-  const Duration after = named ? late_after_ : faults.at_once ? Duration{0} : drawn_after;
+  const Duration after = named ? late_after_ : faults.apply_at_once ? Duration{0} : drawn_after;
   if (named) which_late_ = nullptr;
   if (after > Duration{0}) {
-    rt::spawn(carry_out_late(std::move(txn), after));
+    rt::spawn(commit_late(std::move(txn), after));
   } else {
-    carry_out(txn, true);
+    commit(txn, true);
   }
-  co_await loop_.sleep(unanswered);
+  co_await loop_.sleep(no_response_delay);
   co_return unavailable_reply();
 }
 
@@ -99,10 +99,10 @@
   const Time until = loop_.now() + watch.hold;
   for (;;) {
     tick();
-    auto told = refuses(from) ? std::nullopt : model_.look(watch, loop_.now() >= until);
-    if (told) co_return to_http(std::move(*told));
-    if (loop_.now() > until + unanswered) co_return unavailable_reply();
-    co_await loop_.sleep(watch_look);
+    auto response = refuses(from) ? std::nullopt : model_.poll_watch(watch, loop_.now() >= until);
+    if (response) co_return to_http(std::move(*response));
+    if (loop_.now() > until + no_response_delay) co_return unavailable_reply();
+    co_await loop_.sleep(watch_poll_interval);
   }
 }
 
--- a/tests/simulation/controllers.cpp
+++ b/tests/simulation/controllers.cpp
@@ -5,7 +5,7 @@
 namespace martenwall::sim {
 
 namespace {
-constexpr std::size_t most_machines = 14;
+constexpr std::size_t max_machines = 14;
 }  // namespace
 
 void World::load(Node& n) {
@@ -29,7 +29,7 @@
   for (const auto& [group, row] : stored_machines_) {
     for (const auto& facts : row) n.scheduler->load_machine(facts, now_);
   }
-  // Those that begin last first; then those by number.
+  // Loads range rows in descending order first, then the numbered v1 rows.
   for (auto it = stored_tasks_.rbegin(); it != stored_tasks_.rend(); ++it) {
     if (it->first.kind == RowKind::tasks) n.scheduler->load_tasks(it->second, now_);
   }
@@ -40,10 +40,10 @@
   n.scheduler->set_types(types_);
 }
 
-// What the store says of awaited jobs comes a moment later.
+// Looks up dependencies in the store; results arrive after a delay.
 void World::run_lookups(Node& n) {
   for (const auto& id : n.scheduler->take_lookups()) {
-    at(now_ + seconds(between(wire_low, 0.5)), [this, &n, life = n.life, id] {
+    at(now_ + seconds(between(min_network_delay_s, 0.5)), [this, &n, life = n.life, id] {
       if (n.life != life || n.scheduler == nullptr) return;
       const auto it = stored_jobs_.find(id);
       if (now_ < n.cut_until || now_ < n.frozen_until || it == stored_jobs_.end()) return n.scheduler->retry_lookup(id);
@@ -113,11 +113,11 @@
                                              request.zone + " " + std::to_string(static_cast<int>(request.spot)));
     if (!scale_out_names_.insert(request.name).second) report_violation("hire name reused: " + request.name);
     std::vector<MachineId> ids;
-    if (workers_.size() < most_machines) {
-      for (std::uint32_t i = 0; i < request.count && workers_.size() < most_machines; ++i) {
+    if (workers_.size() < max_machines) {
+      for (std::uint32_t i = 0; i < request.count && workers_.size() < max_machines; ++i) {
         ids.push_back(add_worker(request.zone, request.spot, seconds(between(1, 30))));
       }
-      // The answer can be lost: the machines then turn up by themselves.
+      // The response may be lost: the machines then become known by their heartbeats.
       if (roll() < 0.1) ids.clear();
     }
     n.scheduler->on_scale_out_granted(request, ids, now_);
@@ -133,7 +133,7 @@
   if (!releases.empty()) n.scheduler->on_machines_released(releases, now_);
 }
 
-// Rows that the node knows to be too large are divided and not sent.
+// Returns the next writes; rows over the node's known size limit are split instead of sent.
 std::vector<RowWrite> World::take_writes_within_limits(Node& n) {
   auto rows = n.scheduler->take_writes(n.rows_at_once, true, now_);
   std::erase_if(rows, [&](const RowWrite& row) {
@@ -151,8 +151,8 @@
   for (const auto& row : rows) {
     record_decision(row);
   }
-  // Held by a cut, a transaction is applied late; its conditions decide then.
-  const Time arrives = std::max(now_, n.cut_until) + seconds(between(wire_low, 0.3));
+  // During a cut the transaction is delayed; its conditions are evaluated on arrival.
+  const Time arrives = std::max(now_, n.cut_until) + seconds(between(min_network_delay_s, 0.3));
   at(arrives, [this, &n, life = n.life, token = n.leadership->token(), rows] { apply(n, life, token, rows); });
 }
 
@@ -168,15 +168,15 @@
 
 void World::send_direct(Node& n, CommandBatch batch) {
   record_decision(Decision::command, batch.machine, batch.commands);
-  const bool held = faulty_ && roll() < faults_.delayed_command;
-  const Time arrives = now_ + seconds(held ? between(3, 150) : between(wire_low, wire_high));
+  const bool delayed = faulty_ && roll() < faults_.delayed_command;
+  const Time arrives = now_ + seconds(delayed ? between(3, 150) : between(min_network_delay_s, max_network_delay_s));
   const auto token = n.leadership->token();
   const auto life = n.life;
-  const bool answer_lost = faulty_ && roll() < faults_.lost_response;
-  at(arrives, [this, &n, life, token, batch, held, answer_lost] {
+  const bool response_lost = faulty_ && roll() < faults_.lost_response;
+  at(arrives, [this, &n, life, token, batch, delayed, response_lost] {
     Heartbeat report;
     const auto outcome = deliver_direct(token, batch, report);
-    if (held || answer_lost || n.life != life || n.scheduler == nullptr) return;
+    if (delayed || response_lost || n.life != life || n.scheduler == nullptr) return;
     at(std::max(now_, n.frozen_until), [this, &n, life, batch, outcome, report] {
       if (n.life != life || n.scheduler == nullptr) return;
       n.scheduler->on_command_outcome(batch, outcome.value_or(CommandOutcome::unknown), now_);
--- a/tests/simulation/decisions.cpp
+++ b/tests/simulation/decisions.cpp
@@ -3,10 +3,10 @@
 namespace martenwall::sim {
 
 namespace {
-// What a row says, in numbers and ids only.
+// Returns the row's content as numbers and ids only.
 std::string content_of(const RowWrite& row) {
   std::string out;
-  const auto add = [&](const std::string& said) { out += " " + said; };
+  const auto add = [&](const std::string& field) { out += " " + field; };
   if (row.final_job) {
     add(std::to_string(static_cast<int>(row.final_job->phase)));
     add(std::to_string(row.final_job->tasks));
@@ -28,10 +28,10 @@
 }
 }  // namespace
 
-void World::record_decision(Decision what, const std::string& said) const {
+void World::record_decision(Decision what, const std::string& content) const {
   if (!on_decision) return;
   on_decision(std::to_string(now_.time_since_epoch().count()) + " " + std::to_string(static_cast<int>(what)) + " " +
-              said);
+              content);
 }
 
 void World::record_decision(const RowWrite& row) const {
--- a/tests/simulation/faults.cpp
+++ b/tests/simulation/faults.cpp
@@ -43,8 +43,8 @@
   }
 }
 
-// Just under and over the leader's lease, and about the workers' leases. What it had sent is on its way; what comes
-// to it meanwhile waits in its sockets.
+// Pauses a node for just under or over the leader's lease, or about a worker's lease. Sent messages stay in flight;
+// incoming ones wait in its sockets.
 void World::freeze(Node& n) {
   constexpr std::array<double, 5> lengths{1.0, 1.9, 2.2, 17.0, 45.0};
   ++freezes_;
--- a/tests/simulation/rules.cpp
+++ b/tests/simulation/rules.cpp
@@ -8,15 +8,15 @@
   if (violations_.size() < 5) violations_.push_back(std::to_string(to_seconds(now_.time_since_epoch())) + " " + what);
 }
 
-// Is any job cancelled that this one needs, directly or through others?
+// Returns whether a direct or transitive dependency of the job is cancelled.
 bool World::depends_on_cancelled(const JobId& id, const std::function<bool(const JobId&)>& cancelled) const {
-  std::vector<JobId> left = spec_of(id).dependencies;
-  while (!left.empty()) {
-    const JobId next = left.back();
-    left.pop_back();
+  std::vector<JobId> pending = spec_of(id).dependencies;
+  while (!pending.empty()) {
+    const JobId next = pending.back();
+    pending.pop_back();
     if (cancelled(next)) return true;
     const auto& more = spec_of(next).dependencies;
-    left.insert(left.end(), more.begin(), more.end());
+    pending.insert(pending.end(), more.begin(), more.end());
   }
   return false;
 }
@@ -26,7 +26,7 @@
   check_cancelled_dependencies();
 }
 
-// Quotas, and that nothing runs long after its user was told that it is cancelled.
+// Checks quotas, and that no task runs more than cancel_s after its cancellation was reported.
 void World::check_machines() {
   std::map<std::string, double> used;
   for (const auto& [id, w] : workers_) {
@@ -45,7 +45,7 @@
   }
 }
 
-// What a leader calls active: no user was told so long ago that something it needs is cancelled.
+// Checks that no leader reports a job as active more than cancel_s after a dependency's cancellation was reported.
 void World::check_cancelled_dependencies() {
   const Duration bound = seconds(timings_.cancel_s);
   const auto cancelled_long_ago = [&](const JobId& id) {
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -27,7 +27,7 @@
       if (s.final || roll() > 0.3) continue;
       if (leader->scheduler->cancel(id, now_)) {
         leader->cancels.push_back(id);
-        cancel_asked_.insert(id);
+        cancel_requested_.insert(id);
       }
       break;
     }
@@ -48,8 +48,7 @@
   s.one_zone = roll() < 0.4;
   s.spot = roll() < 0.5;
   s.estimate_s = 20;
-  s.checkpoint_duration_s =
-      faults_.shortage ? 6 : 3;  // beside checkpoints each 10 s the saving costs more than it saves
+  s.checkpoint_duration_s = faults_.shortage ? 6 : 3;  // with a checkpoint every 10 s, 6 s cost more than they save
   s.checkpoint_interval_s = roll() < 0.5 ? 10 : 0;
   if (roll() < 0.5) s.deadline_s = 100;
   s.dependencies = draw_dependencies();
@@ -57,13 +56,13 @@
   Job job;
   job.spec = s;
   job.submitted = now_;
-  // What is done already is no longer waited for.
+  // Completed dependencies are removed.
   std::erase_if(job.spec.dependencies, [&](const JobId& id) {
     return stored_jobs_.at(id).final && stored_jobs_.at(id).job.phase == JobPhase::done;
   });
   stored_jobs_[s.id] = {job, false};
   if (roll() >= faults_.late_notification) return leader.scheduler->add_job(job, now_);
-  // Accepted at another node: the leader finds the note later, or its successor loads the row.
+  // Accepted at another node: the leader reads the inbox entry later, or its successor loads the row.
   at(now_ + seconds(between(0.1, 20)), [this, &leader, life = leader.life, id = s.id] {
     const auto& stored = stored_jobs_.at(id);
     if (leader.life == life && leader.scheduler != nullptr && !stored.final)
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -40,9 +40,10 @@
   w.next_heartbeat = now_ + seconds(between(0.75, 1.25) * timings_.heartbeat_interval_s);
   const auto no = ++w.heartbeat_no;
   const auto report = make_heartbeat(w);
-  const bool held = faulty_ && roll() < faults_.delayed_heartbeat;
-  if (now_ < w.cut_until && !held) return;
-  const Time arrives = std::max(now_, w.cut_until) + seconds(held ? between(1, 90) : between(wire_low, wire_high));
+  const bool delayed = faulty_ && roll() < faults_.delayed_heartbeat;
+  if (now_ < w.cut_until && !delayed) return;
+  const Time arrives = std::max(now_, w.cut_until) +
+                       seconds(delayed ? between(1, 90) : between(min_network_delay_s, max_network_delay_s));
   at(arrives, [this, target = w.target, report, no] { receive_heartbeat(target, report, no); });
   if (!faulty_ || faults_.late_duplicate <= 0 || roll() >= faults_.late_duplicate) return;
   const auto other = random_() % nodes_.size();
@@ -112,13 +113,13 @@
   }
 }
 
-// The machine itself refuses a second run of a task and what it has no room for.
+// The machine refuses a second run of a task, and tasks that exceed its capacity.
 void World::execute_start(Worker& w, const TaskKey& key) {
   const auto& task = key.first;
   const bool busy = std::ranges::any_of(
       w.tasks, [&](const auto& t) { return t.first.first == task && t.second.state != TaskState::ended; });
-  const auto [other, fresh] = attempts_.emplace(key, w.id);
-  if (!fresh && other->second != w.id) report_violation("attempt reused: " + to_string(task));
+  const auto [other, inserted] = attempts_.emplace(key, w.id);
+  if (!inserted && other->second != w.id) report_violation("attempt reused: " + to_string(task));
   SimulatedTask t;
   t.until = now_ + seconds(between(0, 6));
   t.since = now_;
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -12,46 +12,46 @@
   return out;
 }
 
-void play(std::uint64_t seed, const sim::Faults& faults, double quiet_s) {
+void run_with_faults(std::uint64_t seed, const sim::Faults& faults, double quiet_s) {
   sim::World world{seed, faults};
   world.run(350);
   world.stop_faults();
   world.run(quiet_s);
-  // A chain of jobs takes as long as all of them one after another: seed 976 needs 1,100 s. What never ends is found.
+  // A chain of jobs takes the sum of their run times: seed 976 needs 1,100 s. A job that never ends is still detected.
   for (int more = 0; more < 30 && world.unfinished() > 0 && world.violations().empty(); ++more) world.run(100);
   if (!world.violations().empty()) RC_FAIL(joined(world.violations()));
   RC_ASSERT(world.started() + world.cascaded() > 0U);
-  // Whatever happened, all accepted work comes to its end once the faults are over.
+  // All accepted jobs end once the faults are over.
   RC_ASSERT(world.unfinished() == 0U);
 }
 
-RC_GTEST_PROP(simulation, keeps_every_rule_under_mixed_faults, (std::uint64_t seed)) { play(seed, {}, 700); }
+RC_GTEST_PROP(simulation, keeps_every_rule_under_mixed_faults, (std::uint64_t seed)) { run_with_faults(seed, {}, 700); }
 
-// Commands held for minutes are the hazard of direct starts.
+// Commands delayed by minutes are the main risk of direct starts.
 RC_GTEST_PROP(simulation, keeps_every_rule_with_late_commands, (std::uint64_t seed)) {
   sim::Faults f;
   f.delayed_command = 0.5;
   f.delayed_heartbeat = 0.1;
   f.worker_cut = 0.03;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
 RC_GTEST_PROP(simulation, keeps_every_rule_through_failovers, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_crash = 0.02;
   f.store_cut = 0.04;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
-// Frozen at any step, a controller wakes with the answers and reports of before.
+// A controller frozen at any step resumes with the responses and heartbeats that arrived meanwhile.
 RC_GTEST_PROP(simulation, keeps_every_rule_through_freezes, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_freeze = 0.04;
   f.delayed_command = 0.3;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
-// Reports go through whichever node they reach, late, twice, out of order, and by way of nodes that stand still.
+// Heartbeats are relayed by any node: late, duplicated, out of order, and through frozen nodes.
 RC_GTEST_PROP(simulation, keeps_every_rule_while_any_node_accepts_heartbeats, (std::uint64_t seed)) {
   sim::Faults f;
   f.relays = true;
@@ -59,7 +59,7 @@
   f.node_freeze = 0.02;
   f.store_cut = 0.02;
   f.delayed_command = 0.3;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
 RC_GTEST_PROP(simulation, keeps_every_rule_with_a_bad_link_between_nodes, (std::uint64_t seed)) {
@@ -69,7 +69,7 @@
   f.slow_batch = 0.3;
   f.repeated_batch = 0.3;
   f.worker_cut = 0.02;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
 TEST(simulation, followers_pass_on_responses) {
@@ -77,29 +77,29 @@
   f.relays = true;
   sim::World world{7, f};
   world.run(350);
-  EXPECT_GT(world.relayed(), 50U) << "else the properties above would show nothing of it";
+  EXPECT_GT(world.relayed(), 50U) << "the properties above would not cover relaying";
 }
 
-// Rows by number give way to rows that name their runs, and the store takes less and less, while leaders change.
+// The format switches from v1 rows to range rows and the store lowers its limits while leaders change.
 RC_GTEST_PROP(simulation, keeps_every_rule_while_rows_are_split, (std::uint64_t seed)) {
   sim::Faults f;
   f.node_crash = 0.03;
   f.range_rows_switch = 0.015;
   f.store_limit_drop = 0.03;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
-// Chains of jobs, cancelled here and there.
+// Chains of dependent jobs, some of them cancelled.
 RC_GTEST_PROP(simulation, keeps_every_rule_with_dependent_jobs, (std::uint64_t seed)) {
   sim::Faults f;
   f.dependent_jobs = 0.9;
   f.late_notification = 0.6;
   f.node_crash = 0.02;
   f.range_rows_from_start = true;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
-// Machines that are heard and hear nothing, copies of their reports up to three leases late, also at the next leader.
+// Machines whose downlink is lost, and duplicates of their heartbeats up to three leases late, also at the next leader.
 RC_GTEST_PROP(simulation, keeps_every_rule_with_unreachable_machines_and_late_duplicates, (std::uint64_t seed)) {
   sim::Faults f;
   f.downlink_loss = 0.02;
@@ -107,10 +107,10 @@
   f.relays = true;
   f.node_crash = 0.01;
   f.delayed_command = 0.3;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
-// Controllers that are back before anyone missed them, in the middle of elections too.
+// Controllers that restart before their failure is detected, also during elections.
 RC_GTEST_PROP(simulation, keeps_every_rule_through_quick_restarts, (std::uint64_t seed)) {
   sim::Faults f;
   f.quick_restart = 0.8;
@@ -119,17 +119,17 @@
   f.downlink_loss = 0.005;
   f.delayed_command = 0.3;
   f.store_cut = 0.03;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
-// More is wanted than the machines can do, while leaders change: what is deferred is done in the end all the same.
+// Demand exceeds capacity while leaders change: deferred jobs still complete in the end.
 RC_GTEST_PROP(simulation, keeps_every_rule_in_a_shortage, (std::uint64_t seed)) {
   sim::Faults f;
   f.shortage = true;
   f.machine_death = 0.01;
   f.node_crash = 0.02;
   f.delayed_command = 0.3;
-  play(seed, f, 900);
+  run_with_faults(seed, f, 900);
 }
 
 TEST(simulation, work_is_deferred_in_a_shortage) {
@@ -144,7 +144,7 @@
     };
     world.run(350);
   }
-  EXPECT_GT(deferred, 0U) << "else the property above would show nothing of it";
+  EXPECT_GT(deferred, 0U) << "the property above would not cover deferral";
 }
 
 TEST(simulation, row_splits_refusals_and_cascades_do_happen) {
@@ -166,7 +166,7 @@
   EXPECT_GT(cascaded, 0U);
 }
 
-// What the properties above play is not empty.
+// The faults of the properties above do occur.
 TEST(simulation, failovers_and_freezes_do_happen) {
   for (const bool freezes : {false, true}) {
     sim::Faults f;
--- a/tests/stand_ins_test.cpp
+++ b/tests/stand_ins_test.cpp
@@ -48,7 +48,7 @@
   for (std::uint32_t i = 0; i < 4; ++i) checker.start(i, place("i-1"));
   for (std::uint32_t i = 0; i < 4; ++i) {
     checker.rules.on_task_completed({job, i});
-    checker.rules.on_task_left({job, i}, MachineId{"i-1"});
+    checker.rules.on_task_removed({job, i}, MachineId{"i-1"});
   }
   checker.rules.on_phase_reported(job, "done", checker.rules.on_request_sent(), at(20));
   checker.rules.on_phase_reported(job, "done", checker.rules.on_request_sent(), at(30));
@@ -112,14 +112,14 @@
 TEST(rules, a_task_that_runs_long_after_its_cancellation_is_a_violation) {
   RuleChecker checker;
   checker.start(0, place("i-1"));
-  checker.rules.jobs().at(job).cancel_asked = at(2);
+  checker.rules.jobs().at(job).cancel_requested = at(2);
   checker.rules.on_phase_reported(job, "withdrawn", checker.rules.on_request_sent(), at(2));
   checker.rules.tick(at(2 + timings.cancel_s));
   EXPECT_EQ("", checker.first_violation());
   checker.rules.tick(at(2 + timings.cancel_s + 0.1));
   EXPECT_EQ("ran_cancelled", checker.first_violation());
   RuleChecker late;
-  late.rules.jobs().at(job).cancel_asked = at(2);
+  late.rules.jobs().at(job).cancel_requested = at(2);
   late.rules.on_phase_reported(job, "withdrawn", late.rules.on_request_sent(), at(2));
   late.start(0, place("i-1"), 2 + timings.cancel_s + 0.1);
   EXPECT_EQ("ran_cancelled", late.first_violation());
@@ -141,7 +141,7 @@
 
 TEST(rules, invented_unfinished_reverted_and_never_run_results_are_violations) {
   RuleChecker invented;
-  invented.rules.on_unknown_job_known(JobId{"job-000009"}, at(1));
+  invented.rules.on_unsubmitted_job_found(JobId{"job-000009"}, at(1));
   EXPECT_EQ("invented", invented.first_violation());
   RuleChecker not_done;
   not_done.rules.on_phase_reported(job, "done", not_done.rules.on_request_sent(), at(1));
@@ -187,11 +187,11 @@
 
 TEST(stand_ins, the_store_keeps_its_limits) {
   StoreModel store{{2, 3, 20, 4}};
-  EXPECT_TRUE(store.takes_request(at(0)));
-  EXPECT_TRUE(store.takes_request(at(0)));
-  EXPECT_FALSE(store.takes_request(at(0)));
-  EXPECT_TRUE(store.takes_request(at(0.5)));
-  EXPECT_FALSE(store.takes_changes(4, at(0)));
+  EXPECT_TRUE(store.admit_request(at(0)));
+  EXPECT_TRUE(store.admit_request(at(0)));
+  EXPECT_FALSE(store.admit_request(at(0)));
+  EXPECT_TRUE(store.admit_request(at(0.5)));
+  EXPECT_FALSE(store.admit_changes(4, at(0)));
   const auto write = [&](const std::string& key, const std::string& text) {
     const json txn{{"when", json::array()}, {"then", {{{"set", key}, {"data", text}}}}};
     return store.commit(txn, at(1)).status;
@@ -206,10 +206,10 @@
 TEST(stand_ins, a_watch_from_a_compacted_revision_is_refused) {
   StoreModel store;
   for (int i = 0; i < 10'001; ++i) store.write("a", i);
-  EXPECT_EQ(410, store.look({"a", 0, {}}, false)->status);
-  EXPECT_EQ(200, store.look({"a", 10'000, {}}, false)->status);
-  EXPECT_FALSE(store.look({"a", 10'001, {}}, false)) << "no changes yet";
-  EXPECT_EQ(200, store.look({"a", 10'001, {}}, true)->status) << "the watch timed out";
+  EXPECT_EQ(410, store.poll_watch({"a", 0, {}}, false)->status);
+  EXPECT_EQ(200, store.poll_watch({"a", 10'000, {}}, false)->status);
+  EXPECT_FALSE(store.poll_watch({"a", 10'001, {}}, false)) << "no changes yet";
+  EXPECT_EQ(200, store.poll_watch({"a", 10'001, {}}, true)->status) << "the watch timed out";
 }
 
 }  // namespace
--- a/tests/status_comparison_test.cpp
+++ b/tests/status_comparison_test.cpp
@@ -1,11 +1,11 @@
-// Status by compared keys: a node that does not reach the leader asks the store for the keys of many jobs with one
-// transaction, and answers polls from that (docs/safety.md, "Status by compared keys").
+// Status by compared keys: a node that does not reach the leader checks the keys of many jobs with one store
+// transaction and answers polls from the result (docs/safety.md, "Status by compared keys").
 //
-// What happened: no key ever came back from such a transaction (key_comparison_test.cpp tells why). Each poll cost two
-// to four reads of a store that gives such a node a third of its requests, so polls waited behind each other and were
-// refused; and a repeated submission of an accepted job with dependencies was checked like a new one, so that one that
-// named other dependencies was told 422, which is `forgotten`. What showed it: with the old parser's result put back,
-// most tests below fail, among them those that ask for an answer with `source="compared_active"`.
+// Guards against comparisons that return no key (cause: key_comparison_test.cpp). Each poll then costs two to four
+// reads of a store that grants such a node a third of its requests, so that polls queue up and are refused. A
+// resubmission of an accepted job with dependencies is checked like a new job: with other dependencies it gets 422,
+// which violates the rule `forgotten`. With the old parser's result most tests below fail, among them those that
+// require an answer with `source="compared_active"`.
 #include "region/busy_region.hpp"
 #include "wire/user_codec.hpp"
 
@@ -16,7 +16,7 @@
 using region::BusyRegion;
 using region::Region;
 
-// The lookups that this process has counted.
+// Returns the process's lookup counter, or -1 if it is not exported.
 double lookups(const Region& r, std::size_t c, const std::string& purpose, const std::string& source) {
   const std::string text = r.context(c).metrics.exposition();
   const std::string line = "martenwall_lookups_total{purpose=\"" + purpose + "\",source=\"" + source + "\"} ";
@@ -34,18 +34,18 @@
 
 std::string phase_of(const rt::HttpResult& answer) { return json::parse(answer.body).value("phase", ""); }
 
-// A region in which one node does not lead and reaches no other controller, but the store and its users.
+// A region with a follower that reaches the store and its users but no other controller.
 struct IsolatedNode {
   BusyRegion busy;
   Region& r = busy.r;
   std::size_t leader = busy.old_leader;
-  std::size_t node = r.others_of(leader, 1);
+  std::size_t node = r.other_controller(leader, 1);
   explicit IsolatedNode(std::uint64_t seed, double run_s = 150) : busy(seed, {}, run_s) {
     EXPECT_TRUE(r.run_until(20, [&] { return r.logged(leader, "format version raised") > 0; }));
     r.cut_links(node, 600);
     r.run(3);
   }
-  // Polls of this job at this node that were answered from there.
+  // Returns the number of polls of this job that the isolated node answered from `source`.
   std::size_t answers(const JobId& id, const std::string& source) const {
     return r.logged(node, "status query answered job=" + id.value() + " source=" + source);
   }
@@ -61,7 +61,7 @@
   }
 };
 
-// Asked again and again within milliseconds, right after each thing that its user was told: accepted, running, done.
+// A job is polled right after each reported phase: accepted, running, done.
 TEST(status_comparison, a_job_is_followed_from_its_acceptance_to_its_end) {
   IsolatedNode isolated{201};
   Region& r = isolated.r;
@@ -70,18 +70,18 @@
   const auto accepted = poll(r, isolated.node, id);
   EXPECT_EQ(200, accepted.status) << accepted.body;
   EXPECT_EQ(1U, isolated.answers(id, "compared_active"));
-  EXPECT_GT(isolated.compared_active(), 0) << "the counter tells of it";
+  EXPECT_GT(isolated.compared_active(), 0) << "the lookup was not counted";
   r.poll_at(id, {isolated.leader});
   ASSERT_TRUE(r.run_until(30, [&] { return r.store().has(wire::tasks_key(id, 0)); }));
   EXPECT_EQ("running", phase_of(poll(r, isolated.node, id)));
   EXPECT_EQ(2U, isolated.answers(id, "compared_active"));
   ASSERT_TRUE(r.run_until(30, [&] { return r.rules().job(id).reported_done.has_value(); }));
   EXPECT_EQ("done", phase_of(poll(r, isolated.node, id)));
-  EXPECT_EQ(0U, r.store().reads_of(wire::job_key(id))) << "no row of an active job was read";
-  isolated.busy.ends_well(400);
+  EXPECT_EQ(0U, r.store().reads_of(wire::job_key(id))) << "the row of an active job was read";
+  isolated.busy.expect_all_jobs_end(400);
 }
 
-// A poll that comes after its user was told of an end must not share the answer of one that was sent before.
+// A poll sent after the end was reported must not share the result of an earlier comparison.
 TEST(status_comparison, a_poll_after_the_end_does_not_share_an_earlier_comparison) {
   for (const bool cancelled : {true, false}) {
     SCOPED_TRACE(cancelled);
@@ -89,50 +89,52 @@
     Region& r = isolated.r;
     const JobId id = r.submit_array(1, 3, isolated.leader);
     ASSERT_TRUE(r.run_until(20, [&] { return r.store().has(wire::tasks_key(id, 0)); }));
-    r.store().faults(isolated.node).comparisons_held = seconds(0.4);
-    const auto over = [&] {
+    r.store().faults(isolated.node).comparison_delay = seconds(0.4);
+    const auto ended = [&] {
       return r.rules().job(id).reported_cancelled.has_value() || r.rules().job(id).reported_done.has_value();
     };
-    for (int i = 0; i < 2000 && !over(); ++i) {
+    for (int i = 0; i < 2000 && !ended(); ++i) {
       if (cancelled && i == 20) r.cancel(id, {isolated.leader});
-      r.ask_once(id, isolated.node);
+      r.poll_once(id, isolated.node);
       r.run(0.02);
     }
-    ASSERT_TRUE(over());
+    ASSERT_TRUE(ended());
     for (int i = 0; i < 40; ++i) {
-      r.ask_once(id, isolated.node);
+      r.poll_once(id, isolated.node);
       r.run(0.02);
     }
     r.run(2);
     EXPECT_GT(isolated.answers(id, "compared_active"), 0U);
     EXPECT_EQ("", r.violations());
-    isolated.busy.ends_well(400);
+    isolated.busy.expect_all_jobs_end(400);
   }
 }
 
-// The leader ends between the comparison and its answer; the node itself may lead when the answer comes.
+// The leader crashes between the comparison and its response; the node itself may be the leader when it arrives.
 TEST(status_comparison, the_leader_ends_between_comparison_and_answer) {
-  for (const double held : {0.1, 0.3, 0.5}) {
-    SCOPED_TRACE(held);
+  for (const double delay_s : {0.1, 0.3, 0.5}) {
+    SCOPED_TRACE(delay_s);
     IsolatedNode isolated{203};
     Region& r = isolated.r;
-    for (std::size_t c = 0; c < r.controllers(); ++c) r.store().faults(c).comparisons_held = seconds(held);
+    for (std::size_t c = 0; c < r.controllers(); ++c) r.store().faults(c).comparison_delay = seconds(delay_s);
     r.kill_for(isolated.leader, 15);
     for (int i = 0; i < 250; ++i) {
       if (i == 60)
-        r.cancel(isolated.busy.jobs.at(0), {r.others_of(isolated.leader, 1), r.others_of(isolated.leader, 2)});
-      for (const auto& id : isolated.busy.jobs) r.ask_once(id, r.others_of(isolated.leader, 1 + i % 2));
+        r.cancel(isolated.busy.jobs.at(0),
+                 {r.other_controller(isolated.leader, 1), r.other_controller(isolated.leader, 2)});
+      for (const auto& id : isolated.busy.jobs) r.poll_once(id, r.other_controller(isolated.leader, 1 + i % 2));
       r.run(0.02);
     }
     EXPECT_TRUE(
         r.run_until(20, [&] { return r.rules().job(isolated.busy.jobs.at(0)).reported_cancelled.has_value(); }));
-    EXPECT_GT(isolated.compared_active() + status_lookups(r, r.others_of(isolated.leader, 2), "compared_active"), 0);
+    EXPECT_GT(isolated.compared_active() + status_lookups(r, r.other_controller(isolated.leader, 2), "compared_active"),
+              0);
     EXPECT_EQ("", r.violations());
-    isolated.busy.ends_well(700);
+    isolated.busy.expect_all_jobs_end(700);
   }
 }
 
-// The end of a job is carried out and its answer lost: its leader does not know yet, another node may tell it.
+// A job's end is stored but the response is lost: another node may report the end before the leader knows of it.
 TEST(status_comparison, an_end_whose_writer_got_no_answer_is_told) {
   IsolatedNode isolated{204};
   Region& r = isolated.r;
@@ -147,32 +149,32 @@
   EXPECT_EQ("withdrawn", phase_of(poll(r, isolated.node, id)));
   EXPECT_GT(isolated.answers(id, "compared_final"), 0U);
   for (int i = 0; i < 50; ++i) {
-    for (std::size_t c = 0; c < r.controllers(); ++c) r.ask_once(id, c);
+    for (std::size_t c = 0; c < r.controllers(); ++c) r.poll_once(id, c);
     r.run(0.02);
   }
   EXPECT_EQ("", r.violations());
-  isolated.busy.ends_well(700);
+  isolated.busy.expect_all_jobs_end(700);
 }
 
-// A cancellation that is only asked for by an inbox note is not a cancellation: active until its end is stored.
+// A cancellation requested by an inbox entry is not final: the job is active until its end is stored.
 TEST(status_comparison, a_cancellation_by_note_is_told_once_it_is_stored) {
   IsolatedNode isolated{205};
   Region& r = isolated.r;
   const JobId id = isolated.busy.jobs.at(1);
-  r.store().faults(isolated.leader).slower = seconds(0.5);
-  r.store().faults(isolated.leader).slower_until = r.now() + seconds(6);
+  r.store().faults(isolated.leader).response_delay = seconds(0.5);
+  r.store().faults(isolated.leader).delayed_until = r.now() + seconds(6);
   r.cancel(id, {isolated.node});
   for (int i = 0; i < 300; ++i) {
-    for (std::size_t c = 0; c < r.controllers(); ++c) r.ask_once(id, c);
+    for (std::size_t c = 0; c < r.controllers(); ++c) r.poll_once(id, c);
     r.run(0.02);
   }
   EXPECT_TRUE(r.rules().job(id).reported_cancelled.has_value());
   EXPECT_GT(isolated.answers(id, "compared_active"), 0U);
   EXPECT_EQ("", r.violations());
-  isolated.busy.ends_well(700);
+  isolated.busy.expect_all_jobs_end(700);
 }
 
-// Its dependencies have to be looked at: a key alone does not show that none of them is cancelled.
+// Dependencies must be checked as well: the job's key alone does not show that none of them is cancelled.
 TEST(status_comparison, a_dependent_job_is_not_answered_from_its_key_alone) {
   IsolatedNode isolated{206};
   Region& r = isolated.r;
@@ -181,7 +183,7 @@
   EXPECT_EQ(200, poll(r, isolated.node, id).status);
   EXPECT_GT(isolated.answers(id, "single_reads"), 0U);
   EXPECT_EQ(0U, isolated.answers(id, "compared_active"));
-  // The root's end is stored by a leader that ends before it has stored the dependent's.
+  // The leader stores the root's end and loses the store before it stores the dependent's.
   r.store().on_commit = [&](const json& txn, bool) {
     if (region::sets(txn, wire::final_key(root)))
       r.store().faults(isolated.leader).refuses_until = r.now() + seconds(5);
@@ -193,10 +195,10 @@
     EXPECT_TRUE(answer.status != 200 || phase_of(answer) == "withdrawn") << answer.body;
     r.run(0.02);
   }
-  isolated.busy.ends_well(700);
+  isolated.busy.expect_all_jobs_end(700);
 }
 
-// A row that cannot be decoded: its key still shows that the job was accepted and is not over.
+// A row that cannot be decoded: its key still shows that the job was accepted and has not ended.
 TEST(status_comparison, a_job_whose_row_cannot_be_read_is_known) {
   IsolatedNode isolated{207};
   Region& r = isolated.r;
@@ -206,10 +208,10 @@
   EXPECT_EQ(1U, isolated.answers(damaged, "compared_active"));
   const JobId unknown{"job-700001"};
   EXPECT_EQ(404, poll(r, isolated.node, unknown).status);
-  EXPECT_EQ(1U, isolated.answers(unknown, "single_reads")) << "404 follows reads of both keys only";
+  EXPECT_EQ(1U, isolated.answers(unknown, "single_reads")) << "404 requires reads of both keys";
 }
 
-// A row in chunks is not read for a poll.
+// A row stored in chunks is not read for a poll.
 TEST(status_comparison, a_job_in_chunks_is_known_by_its_key) {
   IsolatedNode isolated{208};
   Region& r = isolated.r;
@@ -218,8 +220,8 @@
   EXPECT_EQ(0U, r.store().reads_of("c/job-700002/77/0"));
 }
 
-// An end is never removed, so that this contradicts itself: nothing is known, and 404 would make an accepted job
-// forgotten.
+// Final rows are never removed, so the comparison and the read contradict each other: the status is unknown, and 404
+// would violate the rule `forgotten`.
 TEST(status_comparison, an_end_that_is_compared_but_not_read_is_not_404) {
   IsolatedNode isolated{209};
   Region& r = isolated.r;
@@ -233,7 +235,7 @@
   EXPECT_EQ(200, poll(r, isolated.node, id).status);
 }
 
-// Both keys at once contradict PROTOCOL as well; the end, which is for good, is told.
+// Both keys at once violate PROTOCOL as well; the final phase is reported, as it is permanent.
 TEST(status_comparison, an_end_goes_before_the_key_of_an_active_job) {
   IsolatedNode isolated{210};
   Region& r = isolated.r;
@@ -243,7 +245,7 @@
   EXPECT_EQ("withdrawn", phase_of(poll(r, isolated.node, id)));
 }
 
-// An answer that cannot be understood tells nothing: the rows are read, and nobody is told 404 or 422 for it.
+// A malformed response proves nothing: the rows are read, and no accepted job gets 404 or 422.
 TEST(status_comparison, malformed_conflicts_are_answered_from_rows) {
   IsolatedNode isolated{211};
   Region& r = isolated.r;
@@ -258,12 +260,12 @@
   EXPECT_EQ(0U, isolated.answers(active, "compared_active"));
   json changed = wire::encode_job(r.rules().job(dependent).spec);
   changed["awaits"] = {"job-799999"};
-  EXPECT_EQ(503, r.request(isolated.node, "POST", "/api/jobs", changed.dump()).status) << "it was accepted";
+  EXPECT_EQ(503, r.request(isolated.node, "POST", "/api/jobs", changed.dump()).status) << "the job had been accepted";
   r.store().replace_comparison = nullptr;
-  isolated.busy.ends_well(400);
+  isolated.busy.expect_all_jobs_end(400);
 }
 
-// The store takes fewer conditions than it did: every poll is answered all the same.
+// The store lowers its limit on conditions: every poll is still answered.
 TEST(status_comparison, no_poll_is_lost_where_the_store_takes_fewer_conditions) {
   IsolatedNode isolated{212};
   Region& r = isolated.r;
@@ -278,13 +280,13 @@
     ++refused;
     return rt::HttpResponse{400, R"({"error":"too many conditions"})", {}, false};
   };
-  for (const auto& id : jobs) r.ask_once(id, isolated.node);
+  for (const auto& id : jobs) r.poll_once(id, isolated.node);
   r.run(1.9);
   EXPECT_GT(refused, 0U);
   for (const auto& id : jobs) EXPECT_GT(isolated.answers(id, "compared_active"), 0U) << id.value();
 }
 
-// A submission that was accepted is never refused, whatever it names when it comes again, at whichever node.
+// A resubmission of an accepted job is never refused at any node, whatever dependencies it names.
 TEST(status_comparison, a_repeated_submission_of_a_dependent_job_is_known_at_every_node) {
   IsolatedNode isolated{213};
   Region& r = isolated.r;
@@ -296,7 +298,7 @@
   ASSERT_TRUE(r.run_until(60, [&] {
     return r.rules().job(done).reported_done.has_value() && r.rules().job(cancelled).reported_cancelled.has_value();
   }));
-  // None of them may answer from memory alone.
+  // Restarts the followers, so that none can answer from memory.
   for (std::size_t c = 0; c < r.controllers(); ++c) {
     if (c == isolated.leader) continue;
     r.kill(c);
@@ -322,24 +324,24 @@
     if (c == isolated.leader) continue;
     EXPECT_GT(compared(c), 0) << c;
   }
-  isolated.busy.ends_well(700);
+  isolated.busy.expect_all_jobs_end(700);
 }
 
-// Days on which nodes without the lease answer from compared keys while everything around changes: nobody is told
-// anything older than what a user was told, and it was these answers that were played.
+// Nodes without the lease answer polls from compared keys under many faults: no response is older than the status
+// already reported to the user, and enough polls were answered from comparisons.
 TEST(status_comparison, days_of_polls_at_nodes_that_do_not_reach_the_leader) {
-  constexpr std::size_t jobs_a_day = 24;
+  constexpr std::size_t job_count = 24;
   for (std::uint64_t seed = 221; seed < 227; ++seed) {
     SCOPED_TRACE(seed);
     BusyRegion busy{seed, {}, 8};
     Region& r = busy.r;
-    r.look_closely(0.35);
+    r.query_intensively(0.35);
     JobId last = busy.jobs.front();
-    for (std::size_t i = 0; i < jobs_a_day; ++i) {
+    for (std::size_t i = 0; i < job_count; ++i) {
       const std::size_t at = r.pick();
       const auto l = r.leader();
       if (i % 2 == 0) r.cut_links(at, 2 + 6 * r.roll());
-      if (i % 3 == 0) r.store().faults(r.pick()).comparisons_held = seconds(0.5 * r.roll());
+      if (i % 3 == 0) r.store().faults(r.pick()).comparison_delay = seconds(0.5 * r.roll());
       if (i == 6 && l) r.kill_for(*l, 0.2 + 4 * r.roll());
       if (i == 10 && l) r.store().faults(*l).refuses_until = r.now() + seconds(2 + 3 * r.roll());
       if (i == 14) r.store().fail_for(seconds(1 + 2 * r.roll()));
@@ -349,7 +351,7 @@
         for (std::size_t c = 0; c < r.controllers(); ++c) {
           auto& faults = r.store().faults(c);
           faults.late_share = 0.3;
-          faults.at_once = r.roll() < 0.5;
+          faults.apply_at_once = r.roll() < 0.5;
           faults.late_until = r.now() + seconds(6);
         }
       }
@@ -361,14 +363,14 @@
       r.poll_at(last, {at});
       r.run(2);
     }
-    for (std::size_t c = 0; c < r.controllers(); ++c) r.store().faults(c).comparisons_held = Duration{0};
+    for (std::size_t c = 0; c < r.controllers(); ++c) r.store().faults(c).comparison_delay = Duration{0};
     r.run(15);
     std::size_t answered = 0;
     for (std::size_t c = 0; c < r.controllers(); ++c) {
       answered += r.logged(c, "source=compared_active") + r.logged(c, "source=compared_final");
     }
-    EXPECT_GE(answered, jobs_a_day) << "by compared keys: less than one for each job plays nothing";
-    busy.ends_well(400);
+    EXPECT_GE(answered, job_count) << "fewer than one answer by compared keys per job";
+    busy.expect_all_jobs_end(400);
   }
 }
 
--- a/tests/worker_reports.hpp
+++ b/tests/worker_reports.hpp
@@ -1,4 +1,4 @@
-// A worker's heartbeat as the core's tests want it: without tasks, from zone a, of a machine of type g.
+// Builds heartbeats for tests of the core: no tasks, zone a, machine type g.
 #pragma once
 #include <string>
 
