--- a/bench/slopes_bench.cpp
+++ b/bench/slopes_bench.cpp
@@ -1,5 +1,5 @@
-// Measures the cost of each operation at the size of docs/CAPACITY.md for several amounts; tools/slopes.py fits a line
-// to the results. The argument of a benchmark is the amount; its time, or its counter `bytes`, is the fitted value.
+// Measures the cost of each operation at the size of docs/CAPACITY.md for several values of one quantity, the amount
+// (the argument of the benchmark). tools/slopes.py fits a line to the time of the benchmark, or to its counter `bytes`.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
--- a/scale/cell.cpp
+++ b/scale/cell.cpp
@@ -61,20 +61,20 @@
   for (;;) {
     const Time began = loop_.update_time();
     std::vector<stand_ins::WorkerModel*> running_workers;
-    for (const auto& w : cloud_.workers()) {
-      if (w->model().gone()) continue;
-      w->tick();
-      if (w->model().up(began)) running_workers.push_back(&w->model());
+    for (const auto& worker : cloud_.workers()) {
+      if (worker->model().gone()) continue;
+      worker->tick();
+      if (worker->model().up(began)) running_workers.push_back(&worker->model());
     }
     stand_ins::Gangs::step(running_workers, began);
-    for (const auto& w : cloud_.workers()) {
-      w->wake_if_changed();
+    for (const auto& worker : cloud_.workers()) {
+      worker->wake_if_changed();
     }
     rules_.tick(began);
     if (began >= next_second) {
       next_second += seconds(1);
-      for (const auto& w : cloud_.workers()) {
-        busiest_worker_bytes_ = std::max(busiest_worker_bytes_, static_cast<double>(w->reset_traffic_bytes()));
+      for (const auto& worker : cloud_.workers()) {
+        busiest_worker_bytes_ = std::max(busiest_worker_bytes_, static_cast<double>(worker->reset_traffic_bytes()));
       }
       samples_.push_back({rules_.started() - started_before, rules_.tasks_on_machines()});
       started_before = rules_.started();
@@ -91,8 +91,8 @@
     co_return;
   }
   if (event.kind == Event::Kind::cut_zone) {
-    for (const auto& w : cloud_.workers()) {
-      if (w->zone() == event.zone) w->partition_for(seconds(event.for_s));
+    for (const auto& worker : cloud_.workers()) {
+      if (worker->zone() == event.zone) worker->partition_for(seconds(event.for_s));
     }
     co_return;
   }
@@ -103,10 +103,10 @@
     pending_restarts += event.restarts_per_minute / 60 * static_cast<double>(cloud_.workers().size());
     for (; pending_restarts >= 1; --pending_restarts) {
       const auto index = static_cast<std::size_t>(workers_.uniform() * static_cast<double>(cloud_.workers().size()));
-      auto& w = *cloud_.workers().at(index);
-      if (w.model().gone()) continue;
-      w.partition_for(restart_duration);
-      w.restart();
+      auto& worker = *cloud_.workers().at(index);
+      if (worker.model().gone()) continue;
+      worker.partition_for(restart_duration);
+      worker.restart();
     }
   }
 }
@@ -141,8 +141,8 @@
     running.push_back(s.on_machines);
   }
   std::size_t lost_to_lease = 0;
-  for (const auto& w : cloud_.workers()) lost_to_lease += w->model().lost_to_lease();
-  const auto& t = workers_.traffic;
+  for (const auto& worker : cloud_.workers()) lost_to_lease += worker->model().lost_to_lease();
+  const auto& traffic = workers_.traffic;
   json result = users_.result(started_at_);
   result["breaches"] = rules_.violations();
   result["started"] = rules_.started();
@@ -150,14 +150,10 @@
   result["length_s"] = elapsed_s();
   result["starts_a_second"] = starts;
   result["on_machines"] = running;
-  result["workers"] = {{"machines", cloud_.workers().size()},
-                       {"reports", t.reports},
-                       {"answered", t.answered},
-                       {"report_bytes", t.report_bytes},
-                       {"answer_bytes", t.answer_bytes},
-                       {"commands", t.commands},
-                       {"command_bytes", t.command_bytes},
-                       {"busiest_bytes_in_a_second", busiest_worker_bytes_},
+  result["workers"] = {{"machines", cloud_.workers().size()},    {"reports", traffic.reports},
+                       {"answered", traffic.answered},           {"report_bytes", traffic.report_bytes},
+                       {"answer_bytes", traffic.answer_bytes},   {"commands", traffic.commands},
+                       {"command_bytes", traffic.command_bytes}, {"busiest_bytes_in_a_second", busiest_worker_bytes_},
                        {"lost_to_lease", lost_to_lease}};
   result["cloud_calls"] = cloud_.calls();
   result["longest_tick_s"] = longest_tick_s_;
--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -89,17 +89,17 @@
   const std::string after = query_parameter(target, "after");
   json hosts = json::array();
   bool more = false;
-  for (const auto& w : workers_) {
-    const auto& t = w->model().traits();
-    if (w->model().gone() || t.id.value() <= after) continue;
+  for (const auto& worker : workers_) {
+    const auto& traits = worker->model().traits();
+    if (worker->model().gone() || traits.id.value() <= after) continue;
     more = hosts.size() >= list_page_size;
     if (more) break;
-    hosts.push_back({{"ref", t.id.value()},
-                     {"endpoint", t.endpoint},
-                     {"breed", t.type},
-                     {"yard", t.zone},
-                     {"loaners", t.spot},
-                     {"phase", w->model().up(loop_.now()) ? "running" : "starting"},
+    hosts.push_back({{"ref", traits.id.value()},
+                     {"endpoint", traits.endpoint},
+                     {"breed", traits.type},
+                     {"yard", traits.zone},
+                     {"loaners", traits.spot},
+                     {"phase", worker->model().up(loop_.now()) ? "running" : "starting"},
                      {"ageS", 10.0}});
   }
   return {200, json{{"hosts", hosts}, {"more", more}}.dump(), {}, false};
--- a/scale/plan.cpp
+++ b/scale/plan.cpp
@@ -29,10 +29,10 @@
 
 std::vector<Team> parse_teams(const json& list) {
   std::vector<Team> out;
-  for (const auto& t : list) {
-    out.push_back({required<std::string>(t, "name"),
-                   {optional(t, "cpus", 0.0), optional(t, "gpus", 0.0), 0},
-                   {optional(t, "cpus_max", 0.0), optional(t, "gpus_max", 0.0), 0}});
+  for (const auto& team : list) {
+    out.push_back({required<std::string>(team, "name"),
+                   {optional(team, "cpus", 0.0), optional(team, "gpus", 0.0), 0},
+                   {optional(team, "cpus_max", 0.0), optional(team, "gpus_max", 0.0), 0}});
   }
   return out;
 }
@@ -113,18 +113,19 @@
     parsed.controllers.push_back(
         {required<std::string>(controller, "name"), required<std::string>(controller, "users")});
   }
-  const auto w = required<json>(plan, "workers");
-  parsed.timings = {required<double>(w, "report_s"), required<double>(w, "lease_s"), required<double>(w, "gang_wait_s"),
-                    required<double>(w, "gang_peer_s"), required<double>(w, "cancel_s")};
+  const auto workers = required<json>(plan, "workers");
+  parsed.timings = {required<double>(workers, "report_s"), required<double>(workers, "lease_s"),
+                    required<double>(workers, "gang_wait_s"), required<double>(workers, "gang_peer_s"),
+                    required<double>(workers, "cancel_s")};
   parsed.flavors = required<json>(plan, "flavors").dump();
   const auto types = wire::parse_types(parsed.flavors);
   if (!types) throw PlanError("plan: 'flavors' cannot be parsed");
   parsed.types = *types;
   parsed.zones = required<std::vector<std::string>>(plan, "zones");
   if (parsed.zones.empty()) throw PlanError("plan: 'zones' is empty");
-  for (const auto& m : required<json>(plan, "machines")) {
-    parsed.machines.push_back(
-        {required<std::string>(m, "type"), required<std::size_t>(m, "count"), optional(m, "spare", std::size_t{0})});
+  for (const auto& group : required<json>(plan, "machines")) {
+    parsed.machines.push_back({required<std::string>(group, "type"), required<std::size_t>(group, "count"),
+                               optional(group, "spare", std::size_t{0})});
     const bool known =
         std::ranges::any_of(parsed.types, [&](const MachineType& t) { return t.name == parsed.machines.back().type; });
     if (!known) throw PlanError("plan: 'machines' names an unknown type: " + parsed.machines.back().type);
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -26,22 +26,25 @@
 Users::Users(rt::Loop& loop, const CellPlan& plan, stand_ins::Rules& rules, Balancer& balancer)
     : loop_(loop), plan_(plan), rules_(rules), balancer_(balancer), random_(plan.seed) {}
 
-void Users::count_error(const rt::HttpResult& r) {
-  const bool answered = r.outcome == rt::Outcome::answered;
-  if (answered && (r.status == 200 || r.status == 201)) return;
-  const bool not_sent = r.outcome == rt::Outcome::not_sent;
-  ++errors_[answered ? std::to_string(r.status) : not_sent ? "not sent" : "no answer"];
+void Users::count_error(const rt::HttpResult& response) {
+  const bool answered = response.outcome == rt::Outcome::answered;
+  if (answered && (response.status == 200 || response.status == 201)) return;
+  const bool not_sent = response.outcome == rt::Outcome::not_sent;
+  ++errors_[answered ? std::to_string(response.status) : not_sent ? "not sent" : "no answer"];
 }
 
-JobId Users::draw_job(const JobClass& c) {
-  JobSpec spec = c.spec;
+JobId Users::draw_job(const JobClass& job_class) {
+  JobSpec spec = job_class.spec;
   spec.id = JobId{job_name(++next_job_)};
   spec.team = plan_.teams.at(static_cast<std::size_t>(uniform() * static_cast<double>(plan_.teams.size()))).name;
-  spec.tasks = c.sizes.at(boost::random::discrete_distribution<std::size_t, double>{c.weights}(random_));
-  spec.image = c.name + "-" + std::to_string(static_cast<std::size_t>(uniform() * static_cast<double>(c.images)));
-  spec.image_gb = c.image_gb;
-  const double drawn = boost::random::lognormal_distribution<double>{std::log(c.run_median_s), run_time_sigma}(random_);
-  const double run_s = std::min(c.max_run_s, drawn);
+  spec.tasks =
+      job_class.sizes.at(boost::random::discrete_distribution<std::size_t, double>{job_class.weights}(random_));
+  spec.image = job_class.name + "-" +
+               std::to_string(static_cast<std::size_t>(uniform() * static_cast<double>(job_class.images)));
+  spec.image_gb = job_class.image_gb;
+  const double drawn =
+      boost::random::lognormal_distribution<double>{std::log(job_class.run_median_s), run_time_sigma}(random_);
+  const double run_s = std::min(job_class.max_run_s, drawn);
   spec.estimate_s = run_s * (0.6 + 0.8 * uniform());
   const JobId id = spec.id;
   rules_.add(std::move(spec), run_s, loop_.now());
@@ -49,17 +52,17 @@
 }
 
 void Users::submit(std::size_t job_class) {
-  const auto& c = plan_.classes.at(job_class);
-  const bool cancels = uniform() < c.cancel_fraction;
+  const auto& class_plan = plan_.classes.at(job_class);
+  const bool cancels = uniform() < class_plan.cancel_fraction;
   ++open_jobs_;
-  rt::spawn(simulate_user(draw_job(c), cancels));
+  rt::spawn(simulate_user(draw_job(class_plan), cancels));
 }
 
 rt::Task<void> Users::submit_jobs(std::size_t job_class, Time until) {
-  const auto& c = plan_.classes.at(job_class);
-  for (std::size_t i = 0; i < c.at_start; ++i) submit(job_class);
-  while (c.per_second > 0) {
-    const Duration gap = seconds(std::exponential_distribution<>{c.per_second}(random_));
+  const auto& class_plan = plan_.classes.at(job_class);
+  for (std::size_t i = 0; i < class_plan.at_start; ++i) submit(job_class);
+  while (class_plan.per_second > 0) {
+    const Duration gap = seconds(std::exponential_distribution<>{class_plan.per_second}(random_));
     co_await loop_.sleep(gap);
     if (loop_.now() >= until) break;
     submit(job_class);
@@ -70,10 +73,11 @@
   ++poll_count_;
   const stand_ins::Ordinal sent = rules_.on_request_sent();
   std::string target = "/api/jobs/" + id.value();
-  const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_timeout);
-  count_error(r);
-  if (r.ok()) rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
-  if (r.outcome == rt::Outcome::answered && r.status == 404) rules_.on_permanent_refusal(id, 404, sent, loop_.now());
+  const rt::HttpResult response = co_await balancer_.request("GET", std::move(target), "", poll_timeout);
+  count_error(response);
+  if (response.ok()) rules_.on_phase_reported(id, json::parse(response.body).at("phase"), sent, loop_.now());
+  if (response.outcome == rt::Outcome::answered && response.status == 404)
+    rules_.on_permanent_refusal(id, 404, sent, loop_.now());
   const auto& work = rules_.job(id);
   co_return work.reported_done || work.reported_cancelled;
 }
@@ -84,10 +88,10 @@
   for (;;) {
     const stand_ins::Ordinal sent = rules_.on_request_sent();
     std::string target = "/api/jobs/" + id.value() + "/cancel";
-    const rt::HttpResult r = co_await balancer_.request("POST", std::move(target), "", submit_timeout);
-    count_error(r);
-    if (r.ok()) {
-      rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
+    const rt::HttpResult response = co_await balancer_.request("POST", std::move(target), "", submit_timeout);
+    count_error(response);
+    if (response.ok()) {
+      rules_.on_phase_reported(id, json::parse(response.body).at("phase"), sent, loop_.now());
       break;
     }
     co_await loop_.sleep(seconds(1));
@@ -100,16 +104,19 @@
   while (!rules_.job(id).accepted && loop_.now() < began + submit_retry_period) {
     const stand_ins::Ordinal sent = rules_.on_request_sent();
     std::string body_copy = body;
-    const rt::HttpResult r = co_await balancer_.request("POST", "/api/jobs", std::move(body_copy), submit_timeout);
-    count_error(r);
-    const bool accepted = r.outcome == rt::Outcome::answered && (r.status == 200 || r.status == 201);
+    const rt::HttpResult response =
+        co_await balancer_.request("POST", "/api/jobs", std::move(body_copy), submit_timeout);
+    count_error(response);
+    const bool accepted =
+        response.outcome == rt::Outcome::answered && (response.status == 200 || response.status == 201);
     if (accepted) {
-      rules_.on_phase_reported(id, json::parse(r.body).at("phase"), sent, loop_.now());
+      rules_.on_phase_reported(id, json::parse(response.body).at("phase"), sent, loop_.now());
       submit_s_.push_back(to_seconds(loop_.now() - began));
       break;
     }
-    const bool rejected = r.outcome == rt::Outcome::answered && (r.status == 400 || r.status == 422);
-    if (rejected) rules_.on_permanent_refusal(id, r.status, sent, loop_.now());
+    const bool rejected =
+        response.outcome == rt::Outcome::answered && (response.status == 400 || response.status == 422);
+    if (rejected) rules_.on_permanent_refusal(id, response.status, sent, loop_.now());
     if (rejected) break;
     co_await loop_.sleep(seconds(1 + uniform()));
   }
@@ -128,33 +135,33 @@
   while (loop_.now() < until) {
     const JobId id{job_name(first_unknown_job + static_cast<std::size_t>(uniform() * 1000))};
     std::string target = "/api/jobs/" + id.value();
-    const rt::HttpResult r = co_await balancer_.request("GET", std::move(target), "", poll_timeout);
-    if (r.ok()) rules_.on_unsubmitted_job_found(id, loop_.now());
+    const rt::HttpResult response = co_await balancer_.request("GET", std::move(target), "", poll_timeout);
+    if (response.ok()) rules_.on_unsubmitted_job_found(id, loop_.now());
     co_await loop_.sleep(unknown_job_poll_interval);
   }
 }
 
 json Users::result(Time began) const {
   json classes = json::object();
-  for (const auto& c : plan_.classes) {
-    classes[c.name] = {{"jobs", 0},
-                       {"tasks", 0},
-                       {"begun", 0},
-                       {"done", 0},
-                       {"cancelled", 0},
-                       {"begin_delay_s", json::array()},
-                       {"submitted_s", json::array()}};
+  for (const auto& class_plan : plan_.classes) {
+    classes[class_plan.name] = {{"jobs", 0},
+                                {"tasks", 0},
+                                {"begun", 0},
+                                {"done", 0},
+                                {"cancelled", 0},
+                                {"begin_delay_s", json::array()},
+                                {"submitted_s", json::array()}};
   }
-  for (const auto& [id, w] : rules_.jobs()) {
-    auto& c = classes[w.spec.job_class];
-    c["jobs"] = c["jobs"].get<std::size_t>() + 1;
-    c["tasks"] = c["tasks"].get<std::size_t>() + w.spec.tasks;
-    if (w.reported_done) c["done"] = c["done"].get<std::size_t>() + 1;
-    if (w.reported_cancelled) c["cancelled"] = c["cancelled"].get<std::size_t>() + 1;
-    if (!w.started) continue;
-    c["begun"] = c["begun"].get<std::size_t>() + 1;
-    c["begin_delay_s"].push_back(to_seconds(*w.started - w.submitted));
-    c["submitted_s"].push_back(to_seconds(w.submitted - began));
+  for (const auto& [id, work] : rules_.jobs()) {
+    auto& class_result = classes[work.spec.job_class];
+    class_result["jobs"] = class_result["jobs"].get<std::size_t>() + 1;
+    class_result["tasks"] = class_result["tasks"].get<std::size_t>() + work.spec.tasks;
+    if (work.reported_done) class_result["done"] = class_result["done"].get<std::size_t>() + 1;
+    if (work.reported_cancelled) class_result["cancelled"] = class_result["cancelled"].get<std::size_t>() + 1;
+    if (!work.started) continue;
+    class_result["begun"] = class_result["begun"].get<std::size_t>() + 1;
+    class_result["begin_delay_s"].push_back(to_seconds(*work.started - work.submitted));
+    class_result["submitted_s"].push_back(to_seconds(work.submitted - began));
   }
   return {{"classes", classes},
           {"submit_s", submit_s_},
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -29,7 +29,7 @@
   JobId draw_job(const JobClass& job_class);
   void submit(std::size_t job_class);
   double uniform() { return std::uniform_real_distribution<>{0, 1}(random_); }
-  void count_error(const rt::HttpResult& r);
+  void count_error(const rt::HttpResult& response);
 
   rt::Loop& loop_;
   const CellPlan& plan_;
--- a/src/core/capacity/scale_out_planner.cpp
+++ b/src/core/capacity/scale_out_planner.cpp
@@ -40,7 +40,8 @@
 
   [[nodiscard]] std::vector<ScaleOutRequest> requests() const {
     std::map<CapacityRefusals::Location, std::uint32_t> counts;
-    // In the order in which the demands were served: requests for the most urgent demand come first.
+    // Locations are listed in the order in which the demands were served: requests for the most urgent demand come
+    // first.
     std::vector<CapacityRefusals::Location> locations;
     for (const auto& entry : pool_) {
       if (!entry.to_rent) continue;
@@ -67,11 +68,11 @@
       if (remaining == 0) break;
       auto& entry = pool_[i];
       if (!allows(*demand.spec, i, zone) || (demand.spot_only && !entry.spot)) continue;
-      const auto n = fill(*demand.spec, entry, remaining);
-      if (n > 0) ready = std::max(ready, entry.ready);
-      if (n > 0 && entry.idle != nullptr) entry.idle->keep_until = view_.now + idle_hold;
-      if (n > 0 && !min_need_.fits_in(entry.free)) ++exhausted;
-      remaining -= n;
+      const auto placed = fill(*demand.spec, entry, remaining);
+      if (placed > 0) ready = std::max(ready, entry.ready);
+      if (placed > 0 && entry.idle != nullptr) entry.idle->keep_until = view_.now + idle_hold;
+      if (placed > 0 && !min_need_.fits_in(entry.free)) ++exhausted;
+      remaining -= placed;
     }
     if (exhausted > 0) std::erase_if(usable_, [&](std::size_t i) { return !min_need_.fits_in(pool_[i].free); });
     while (remaining > 0) {
@@ -123,9 +124,9 @@
     pool_kinds_.push_back(find_or_add_kind(kinds_, *entry.type, entry.zone, entry.spot));
     if (min_need_.fits_in(entry.free)) usable_.push_back(i);
   }
-  // Returns how many more tasks of the job the zone may take. A zone that already has its half of a job that must be
-  // spread cannot take the rest, however many machines idle there: otherwise such a job waited forever, with machines
-  // kept for it and none rented in another zone.
+  // Returns the number of further tasks of the job that the zone may take. If the job must be spread, a zone that
+  // already has half of its tasks cannot take more, however many of its machines are idle. Without this limit such a
+  // job waited forever: idle machines were kept for it, and none were rented in another zone.
   [[nodiscard]] std::uint32_t zone_capacity(const JobSpec& spec, const std::string& zone) const {
     if (!spec.spread) return spec.tasks;
     const auto it = tasks_by_zone_.find(zone);
@@ -134,10 +135,10 @@
   }
   std::uint32_t fill(const JobSpec& spec, CapacityForecast& entry, std::uint32_t max_tasks) {
     const auto limit = std::min(max_tasks, zone_capacity(spec, entry.zone));
-    std::uint32_t n = 0;
-    for (; n < limit && spec.need.fits_in(entry.free); ++n) entry.free.add(spec.need, -1);
-    if (spec.spread) tasks_by_zone_[entry.zone] += n;
-    return n;
+    std::uint32_t placed = 0;
+    for (; placed < limit && spec.need.fits_in(entry.free); ++placed) entry.free.add(spec.need, -1);
+    if (spec.spread) tasks_by_zone_[entry.zone] += placed;
+    return placed;
   }
 
   [[nodiscard]] std::optional<RentalOption> cheapest_option(const JobSpec& spec, const std::string& zone,
@@ -187,14 +188,14 @@
     return std::max(random_growth, samples_.back());  // not enough samples for an estimate of growth
   double sum = 0;
   double sum_of_squares = 0;
-  const std::size_t n = samples_.size() - horizon;
-  for (std::size_t i = 0; i < n; ++i) {
+  const std::size_t growth_samples = samples_.size() - horizon;
+  for (std::size_t i = 0; i < growth_samples; ++i) {
     const double growth = samples_[i + horizon] - samples_[i];
     sum += growth;
     sum_of_squares += growth * growth;
   }
-  const double mean = sum / static_cast<double>(n);
-  const double variance = std::max(0.0, sum_of_squares / static_cast<double>(n) - mean * mean);
+  const double mean = sum / static_cast<double>(growth_samples);
+  const double variance = std::max(0.0, sum_of_squares / static_cast<double>(growth_samples) - mean * mean);
   return std::max(random_growth, std::min(mean, 0.0) + deviations * std::sqrt(variance));
 }
 
--- a/src/core/capacity/scale_out_planner.hpp
+++ b/src/core/capacity/scale_out_planner.hpp
@@ -1,4 +1,4 @@
-// Fleet sizing: which machines to rent for work without capacity, and how many idle machines to keep.
+// Fleet sizing: selects the machines to rent for work without capacity, and estimates how many idle machines to keep.
 #pragma once
 #include <deque>
 #include <map>
@@ -47,7 +47,7 @@
   std::string zone;
   bool spot = false;
   Resources free;
-  Time ready{};  // when it is expected to accept starts
+  Time ready{};  // time from which it is expected to accept starts
   bool to_rent = false;
   Machine* idle = nullptr;  // the machine if it is up and empty: it is not released while a waiting job counts on it
 };
@@ -68,9 +68,9 @@
  public:
   // Adds a sample; called once a second.
   void add(double busy);
-  // Returns by how much the load may grow over `horizon` samples: `deviations` times the standard deviation of its
-  // recent growth, or of a random load (the square root of its maximum) if that is more, because the history of a small
-  // fleet has too few samples.
+  // Returns the growth of the load to provide for over `horizon` samples: `deviations` times the standard deviation of
+  // its recent growth, or of a random load (the square root of its maximum) if that is more, because the history of a
+  // small fleet has too few samples.
   [[nodiscard]] double reserve(std::size_t horizon, double deviations) const;
 
  private:
@@ -79,7 +79,7 @@
 };
 
 // Returns the machines to rent, packed greedily; the requests have no name yet. Sets `capacity_expected_at` of each
-// demand's job to when its capacity is expected, or clears it if none is.
+// demand's job to the time at which its capacity is expected, or clears it if none is.
 std::vector<ScaleOutRequest> pack_scale_out_requests(const FleetView& view, const std::vector<Demand>& demands);
 
 }  // namespace martenwall
--- a/src/core/leadership/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -6,8 +6,8 @@
 namespace martenwall {
 
 namespace {
-constexpr double max_clock_drift =
-    0.001;  // twice the protocol's bound of 0.05%: two clocks may drift in opposite directions
+// Twice the protocol's bound of 0.05%: two clocks may drift in opposite directions.
+constexpr double max_clock_drift = 0.001;
 
 Duration subtract_drift(Duration d) { return seconds(to_seconds(d) * (1 - max_clock_drift)); }
 }  // namespace
--- a/src/core/leadership/leadership.hpp
+++ b/src/core/leadership/leadership.hpp
@@ -44,7 +44,7 @@
   [[nodiscard]] bool has_valid_lease(Time now) const;
   // Returns whether the node may answer workers with HTTP 200.
   [[nodiscard]] bool serves_workers(Time now) const;
-  // Returns when the lease expires.
+  // Returns the time at which the lease expires.
   [[nodiscard]] Time valid_until() const { return valid_until_; }
 
  private:
--- a/src/core/messages.hpp
+++ b/src/core/messages.hpp
@@ -29,7 +29,7 @@
   std::vector<TaskStatus> tasks;
 };
 
-// Where a task status came from: a periodic heartbeat or the reply to a command, which carries the same data.
+// Source of a task status: a periodic heartbeat or the reply to a command, which carries the same data.
 enum class StatusSource { heartbeat, command_reply };
 
 // Instruction to a worker about one task. `forget`: the end of the task is stored, so the worker may drop its record.
@@ -86,7 +86,7 @@
   JobId id;
   JobPhase phase = JobPhase::pending;
   std::uint32_t done = 0, running = 0;
-  std::string pending_reason{};  // why no task of the job can start, if its team is the cause
+  std::string pending_reason{};  // set if no task of the job can start because of its team
 };
 
 // Data about a machine that helps a new leader; correctness does not depend on it.
--- a/src/core/model/configuration.hpp
+++ b/src/core/model/configuration.hpp
@@ -1,5 +1,5 @@
-// Configuration that operators may change while the service runs, and whether this node's view of it is recent enough
-// to act on.
+// Configuration that operators may change while the service runs, and the time until which a node may act on its view
+// of it.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -20,12 +20,12 @@
   Policy policy;
 };
 
-// How long a node may act on a version, counted from the sending of the last read that showed it to be the newest. A
-// change is in force on all nodes once this time has passed since its commit: a node that has not read the change no
-// longer makes decisions by then.
+// Time for which a node may act on a version, counted from when it sent the last read that confirmed the version as the
+// newest. A change is in force on all nodes once this time has passed since its commit: a node that has not read the
+// change no longer makes decisions by then.
 constexpr Duration configuration_validity = seconds(5);
 
-// What this node knows about the configuration in the store.
+// This node's knowledge of the configuration in the store.
 enum class ConfigurationState {
   unknown,   // not read since the process started
   unused,    // no configuration is stored, and none can be created without this node's acknowledgement
@@ -38,10 +38,10 @@
 class ConfigurationValidity {
  public:
   [[nodiscard]] ConfigurationState state() const { return state_; }
-  // A read sent at `sent` found no configuration. `creation_excluded`: the read also guarantees that none can be
-  // created without this node's acknowledgement; docs/safety.md says which reads do.
+  // Records that a read sent at `sent` found no configuration. `creation_excluded`: the read also guarantees that none
+  // can be created without this node's acknowledgement; docs/safety.md says which reads do.
   void on_none_found(Time sent, bool creation_excluded);
-  // A read sent at `sent` found the known version to be the newest.
+  // Records that a read sent at `sent` confirmed the known version as the newest.
   void on_version_confirmed(Time sent);
   void start_following();  // this node acknowledged the start of configuration changes
   [[nodiscard]] bool is_following() const { return state_ == ConfigurationState::followed; }
--- a/src/core/model/done_set.cpp
+++ b/src/core/model/done_set.cpp
@@ -23,11 +23,11 @@
 std::vector<DoneSet::Range> DoneSet::ranges_in(std::uint32_t first, std::uint32_t last) const {
   std::vector<Range> out;
   if (lowest_unfinished_ > first) out.emplace_back(first, std::min(last, lowest_unfinished_ - 1));
-  for (auto it = done_above_.lower_bound(first); it != done_above_.end() && *it <= last; ++it) {
-    if (!out.empty() && out.back().second + 1 == *it) {
-      out.back().second = *it;
+  for (auto index = done_above_.lower_bound(first); index != done_above_.end() && *index <= last; ++index) {
+    if (!out.empty() && out.back().second + 1 == *index) {
+      out.back().second = *index;
     } else {
-      out.emplace_back(*it, *it);
+      out.emplace_back(*index, *index);
     }
   }
   return out;
--- a/src/core/model/model.cpp
+++ b/src/core/model/model.cpp
@@ -71,17 +71,17 @@
 
 void Machine::touch_image(ImageId image, double gb, double cache_gb, bool ready) {
   ready = ready || has_image(image);
-  std::erase_if(images, [&](const Image& i) { return i.id == image; });
+  std::erase_if(images, [&](const Image& cached) { return cached.id == image; });
   images.insert(images.begin(), {image, gb, ready});
   double total = 0;
-  std::erase_if(images, [&](const Image& i) {
-    total += i.gb;
-    return total > cache_gb && i.id != image;
+  std::erase_if(images, [&](const Image& cached) {
+    total += cached.gb;
+    return total > cache_gb && cached.id != image;
   });
 }
 
 void Machine::drop_fetch(ImageId image) {
-  std::erase_if(images, [&](const Image& i) { return i.id == image && !i.ready; });
+  std::erase_if(images, [&](const Image& cached) { return cached.id == image && !cached.ready; });
 }
 
 std::uint32_t Job::pending_tasks() const {
--- a/src/core/model/model.hpp
+++ b/src/core/model/model.hpp
@@ -91,9 +91,9 @@
 enum class TaskState { planned, sent, fetching, waiting, running, saving, ended };
 // Returns the name for log lines.
 std::string_view name_of(TaskState s);
-// Why a task ended, as its worker reports it. `peer_lost`: a member of its gang was lost; `gang_incomplete`: its gang
-// was not complete in time; `no_capacity` and `busy`: the worker refused the start; `unknown`: the worker has no record
-// of the task.
+// Cause of a task's end, as reported by its worker. `peer_lost`: a member of its gang was lost; `gang_incomplete`: its
+// gang was not complete in time; `no_capacity` and `busy`: the worker refused the start; `unknown`: the worker has no
+// record of the task.
 enum class ExitCause { none, done, stopped, peer_lost, gang_incomplete, error, no_capacity, busy, unknown };
 // Returns the name for log lines.
 std::string_view name_of(ExitCause c);
@@ -107,7 +107,8 @@
   // Changes the state; the only function that does so. Returns false if the transition is not allowed.
   bool transition_to(TaskState next, Time now);
   [[nodiscard]] TaskState state() const { return state_; }
-  // Returns whether the task takes capacity, counts against its team's limit and binds its zone.
+  // Returns whether the task takes capacity, counts against its team's limit and constrains the zones of its job's
+  // other tasks.
   [[nodiscard]] bool occupies() const { return !removed && state_ != TaskState::ended; }
   // Returns whether a start that was sent can still take effect on the worker.
   [[nodiscard]] bool start_in_flight() const { return direct_start_unanswered || start_sequence.has_value(); }
@@ -142,7 +143,7 @@
 enum class MachinePhase { booting, up, draining, releasing, lost };
 std::string_view name_of(MachinePhase p);
 
-// A rented machine: what its worker reported, which tasks may be on it and how reliable it is.
+// A rented machine: its worker's reports, the tasks that may be on it and the evidence of its reliability.
 class Machine {
  public:
   explicit Machine(MachineId machine_id) : id(std::move(machine_id)) {}
@@ -150,7 +151,7 @@
   bool transition_to(MachinePhase next, Time now);
   [[nodiscard]] MachinePhase phase() const { return phase_; }
   [[nodiscard]] bool accepts_starts() const { return phase_ == MachinePhase::up && has_reported; }
-  // Returns nullptr if there is no such placement.
+  // Returns the placement of this attempt, or nullptr if there is none.
   Placement* find(const TaskId& task, Attempt attempt);
   [[nodiscard]] bool empty() const { return task_count == 0; }
   // State of an image in the machine's cache.
@@ -186,7 +187,7 @@
   std::optional<JobId> reserved_for;
   Time reserved_until{};
   Time no_starts_before{};
-  Time keep_until{};  // not released before: a job that waits for further machines counts on it
+  Time keep_until{};  // not released before this time: a job that waits for further machines needs it
   DownlinkHealth downlink;
   bool answered_by_this_leader = false;
   std::set<JobId> failing_jobs;  // jobs that failed here since a task last completed here
@@ -204,7 +205,7 @@
   Time submitted{};
   std::int64_t submitted_wall_ms = 0;
   JobPhase phase = JobPhase::pending;
-  Priority priority = Priority::normal;  // its own, or the higher priority of a job that depends on it
+  Priority priority = Priority::normal;  // as submitted, or the higher priority of a dependent job
   std::uint64_t next_attempt = 1;
   DoneSet done;
   bool end_write_sent = false;  // its end may be in the store before this node knows the result
@@ -221,9 +222,9 @@
   using RowStates = std::map<std::uint32_t, RowState>;  // by first index; ranges do not overlap
   RowStates task_ranges;                                // rows of format 2, which name their range in their key
   RowStates v1_rows;                                    // rows of format 1, which are numbered
-  std::vector<std::string> chunk_keys;                  // further keys over which its own row is split
-  std::optional<Time> effective_deadline;               // latest end for it and all its dependents to be in time
-  Time ready_at{};                                      // when its last dependency was done
+  std::vector<std::string> chunk_keys;                  // keys of the chunks into which its own row is split
+  std::optional<Time> effective_deadline;               // latest end with which it and all its dependents are in time
+  Time ready_at{};                                      // time at which its last dependency was done
   std::set<JobId> open_dependencies;                    // dependencies that are not known to be done
   // The following members are kept in memory only.
   std::map<std::uint32_t, MachineId> placed;              // tasks that may be on a machine
@@ -242,7 +243,7 @@
   bool start_counted = false, late_counted = false;  // counted in the service record
   Time waiting_since{};
   Time preempt_after{};
-  std::optional<Time> capacity_expected_at;  // when new machines will have capacity for all of it
+  std::optional<Time> capacity_expected_at;  // time from which new machines should have capacity for all of it
 
   void reset_urgency();  // restores the submitted priority and deadline
   // Changes the phase; the only function that does so. Returns false if the job has already ended in another phase.
--- a/src/core/model/policy.hpp
+++ b/src/core/model/policy.hpp
@@ -30,21 +30,21 @@
   // Scheduling cycles and fleet
   Duration cycle_interval;
   Duration idle_release;
-  Duration quiet_period;        // if no job is submitted for this long,
-  Duration quiet_idle_release;  // idle machines are released after this time
+  Duration quiet_period;        // time without a submission after which `quiet_idle_release` applies
+  Duration quiet_idle_release;  // idle machines are released after this time while no jobs are submitted
   int warm_machines;
   double reserve_deviations;   // idle reserve: standard deviation of the load's growth during a boot, times this factor
   Duration surplus_release;    // idle machines beyond the reserve are released after this time
   double boot_timeout_factor;  // multiple of the nominal boot time after which a machine is abandoned
   Duration capacity_retry;
   Duration lost_timeout;           // a lost machine that is not listed as failed is released after this time
-  Duration best_effort_spot_wait;  // how long work of a team without guarantee is restricted to spot machines
+  Duration best_effort_spot_wait;  // time for which work of a team without guarantee is restricted to spot machines
   Duration best_effort_spot_wait_without_spot;  // the same if there is no spot machine
   bool direct_starts;
-  bool reserve_limit_headroom;  // rows after one that waits for its team's limit leave it headroom for a task
+  bool reserve_limit_headroom;  // jobs after one that waits for its team's limit leave it headroom for one task
   bool allow_unsaved_stops;     // a task that is not in a gang is preempted without saving if that costs less
   int error_limit;              // consecutive failures of different jobs after which a machine is quarantined
-  int suspect_machines;         // number of machines with failures, and no task done, from which a job is suspect
+  int suspect_machines;         // a job that failed on this many machines, with no task done, is suspect
   // Workers
   bool relay_heartbeats;       // followers accept workers' heartbeats and forward them
   double relay_leader_weight;  // the leader's share of directly reporting workers, as a fraction of a follower's share
--- a/src/core/model/quota_usage.hpp
+++ b/src/core/model/quota_usage.hpp
@@ -12,14 +12,16 @@
 class QuotaUsage {
  public:
   explicit QuotaUsage(const std::map<std::string, Team>& teams) : teams_(teams) {}
-  // Adds `r` times `times`, which may be negative, to the team's usage.
-  void add(const std::string& team, const Resources& r, double times = 1) { used_[team].add(r, times); }
+  // Adds `resources` times `factor`, which may be negative, to the team's usage.
+  void add(const std::string& team, const Resources& resources, double factor = 1) {
+    used_[team].add(resources, factor);
+  }
   [[nodiscard]] Resources used(const std::string& team) const {
     const auto it = used_.find(team);
     return it == used_.end() ? Resources{} : it->second;
   }
   [[nodiscard]] const std::map<std::string, Resources>& all() const { return used_; }
-  // Returns how many more tasks of this need the team may run within its limit less `reserved`.
+  // Returns the number of further tasks with this need that the team may run within its limit less `reserved`.
   [[nodiscard]] std::uint32_t max_additional_tasks(const std::string& team, const Resources& need,
                                                    const Resources& reserved = {}) const {
     const auto it = teams_.find(team);
@@ -45,8 +47,8 @@
   static std::uint32_t max_tasks(double limit, double used, double need) {
     constexpr std::uint32_t unlimited = 1'000'000;
     if (limit <= 0 || need <= 0) return unlimited;
-    const double n = (limit - used + 1e-6) / need;
-    return n <= 0 ? 0 : static_cast<std::uint32_t>(std::min<double>(n, unlimited));
+    const double fitting = (limit - used + 1e-6) / need;
+    return fitting <= 0 ? 0 : static_cast<std::uint32_t>(std::min<double>(fitting, unlimited));
   }
   static bool exceeds(double guarantee, double used) { return guarantee > 0 && used > guarantee + 1e-6; }
 
--- a/src/core/persistence/row_tracker.cpp
+++ b/src/core/persistence/row_tracker.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 constexpr std::size_t max_stored_images = 12;  // per machine, most recently used first
-constexpr Duration machine_row_delay =
-    seconds(4);  // collects image changes of the machines in a row, which arrive one by one
-constexpr Duration removal_delay = seconds(2);  // for rows that only a later leader would read
-constexpr Duration successor_retry_delay =
-    seconds(0.05);  // before a row checks again whether its successors are stored
+// Delay of the write of a machine row. Image changes of the row's machines arrive one by one and are written together.
+constexpr Duration machine_row_delay = seconds(4);
+constexpr Duration removal_delay = seconds(2);  // of rows that only a later leader would read
+// Delay before the next check whether the rows that took over part of a row's range are stored.
+constexpr Duration successor_retry_delay = seconds(0.05);
 constexpr Duration unsplittable_retry_delay = seconds(1);  // before a row that cannot be split is retried
 }  // namespace
 
@@ -36,7 +36,7 @@
   if (job.residual) queue_removal(job, now);
 }
 
-// ---- marking ----
+// ---- queueing of changed rows ----
 
 // Rows of best-effort work also have lower write priority.
 WritePriority RowTracker::priority_of(const Job& job) const {
@@ -143,10 +143,10 @@
   if (range == job.task_ranges.end() || range->second.in_store <= range->second.size || job.end_is_stored) return true;
   const auto end = first + range->second.in_store;
   bool all_stored = true;
-  for (auto it = std::next(range); it != job.task_ranges.end() && it->first < end; ++it) {
-    if (it->second.in_store > 0) continue;
+  for (auto successor = std::next(range); successor != job.task_ranges.end() && successor->first < end; ++successor) {
+    if (successor->second.in_store > 0) continue;
     all_stored = false;
-    queue_.add({RowKind::tasks, job.spec.id.value(), it->first}, now, priority_of(job));
+    queue_.add({RowKind::tasks, job.spec.id.value(), successor->first}, now, priority_of(job));
   }
   return all_stored;
 }
@@ -161,11 +161,11 @@
     return false;
   }
   const auto half = range->second.size / 2;
-  Job::RowState rest{range->second.size - half, range->second.changed, range->second.stored, 0};
+  Job::RowState second_half{range->second.size - half, range->second.changed, range->second.stored, 0};
   range->second.size = half;
   queue_.add({RowKind::tasks, write.key.id, write.key.part + half}, now, priority_of(*job));
   queue_.add(write.key, now, priority_of(*job));
-  job->task_ranges.emplace(write.key.part + half, rest);
+  job->task_ranges.emplace(write.key.part + half, second_half);
   return true;
 }
 
@@ -183,7 +183,8 @@
          (deferrable && queue_.ready(WritePriority::deferrable, now));
 }
 
-// Returns false if the row must wait: it is queued again now, or once the last row that replaces it is stored.
+// Returns whether the row can be written now. If not, it is queued again, due after `successor_retry_delay` or when the
+// last row that replaces it is stored.
 bool RowTracker::is_due(const RowKey& key, Time now) {
   const Job* job = std::as_const(state_).find_job(JobId{key.id});
   if (job == nullptr || key.kind == RowKind::machines) return true;
@@ -292,7 +293,7 @@
   return record;
 }
 
-// ---- stored ----
+// ---- confirmed writes ----
 
 void RowTracker::on_stored(const RowWrite& write, Time now) {
   queue_.finish_write(write.key);
@@ -310,14 +311,15 @@
     row->second.stored = std::max(row->second.stored, write.generation);
     row->second.in_store = write.tasks ? write.size : 0;
   }
-  // The write also covers ranges that were split off since: until their own rows are stored, this row counts for them.
+  // The write also covers ranges that were split off after it was built: until their own rows are stored, this row
+  // counts for them.
   auto range = job->task_ranges.lower_bound(first);
   for (; range != job->task_ranges.end() && range->first < end; ++range) {
     range->second.stored = std::max(range->second.stored, write.generation);
   }
   queue_superseded(*job, first, write.size, now);
-  for (auto p = job->placed.lower_bound(first); p != job->placed.end() && p->first < end; ++p) {
-    state_.machines_to_command.insert(p->second);
+  for (auto task = job->placed.lower_bound(first); task != job->placed.end() && task->first < end; ++task) {
+    state_.machines_to_command.insert(task->second);
   }
 }
 
--- a/src/core/persistence/row_tracker.hpp
+++ b/src/core/persistence/row_tracker.hpp
@@ -14,7 +14,7 @@
 
 namespace martenwall {
 
-// Write tracking for the rows of jobs, tasks and machines.
+// Tracks the changes of jobs, tasks and machines that must be written to their rows.
 class RowTracker {
  public:
   RowTracker(ClusterState& state, const DependencyTracker& dependencies, const RowFormat& format)
@@ -55,7 +55,8 @@
   // Queues the removal of the job's task rows, for a job whose end is stored; a row is removed once none of its tasks
   // is on a machine.
   void queue_removal(Job& job, Time now);
-  // Removes the job from memory if its end is stored and no task of it is on a machine or in an active row.
+  // Removes the job from memory if its end is stored, none of its tasks is on a machine and none of its rows is stored
+  // or queued.
   void forget_if_finished(const JobId& id);
   // Returns whether the store holds what must be stored before this placement's start is sent, or before its worker
   // drops an ended task.
--- a/src/core/persistence/write_queue.hpp
+++ b/src/core/persistence/write_queue.hpp
@@ -12,10 +12,10 @@
 
 namespace martenwall {
 
-// How soon a row is written.
+// Priority class of the write of a row.
 enum class WritePriority : std::uint8_t {
   foreground,   // users or task starts wait for it
-  best_effort,  // the same for best-effort work: gets a share of the writes and those that remain
+  best_effort,  // the same for best-effort work: gets a share of the writes and those that remain unused
   deferrable,   // nothing waits for it; written if no other row is due
 };
 
@@ -24,21 +24,21 @@
  public:
   // Queues a row. A row that is already queued keeps the earlier time and the higher priority.
   void add(const RowKey& key, Time due, WritePriority priority) {
-    auto [it, inserted] = entries_.try_emplace(key, Entry{priority, due});
+    auto [entry, inserted] = entries_.try_emplace(key, Entry{priority, due});
     if (!inserted) {
-      const Entry merged{std::min(it->second.priority, priority), std::min(it->second.due, due)};
-      if (merged == it->second) return;
-      queue_of(it->second.priority).erase({it->second.due, key});
-      it->second = merged;
+      const Entry merged{std::min(entry->second.priority, priority), std::min(entry->second.due, due)};
+      if (merged == entry->second) return;
+      queue_of(entry->second.priority).erase({entry->second.due, key});
+      entry->second = merged;
     }
-    queue_of(it->second.priority).emplace(it->second.due, key);
+    queue_of(entry->second.priority).emplace(entry->second.due, key);
   }
   // Removes a row that does not need to be written.
   void remove(const RowKey& key) {
-    const auto it = entries_.find(key);
-    if (it == entries_.end()) return;
-    queue_of(it->second.priority).erase({it->second.due, key});
-    entries_.erase(it);
+    const auto entry = entries_.find(key);
+    if (entry == entries_.end()) return;
+    queue_of(entry->second.priority).erase({entry->second.due, key});
+    entries_.erase(entry);
   }
   // Returns up to `max_rows` due rows, oldest first within a priority; they are in flight until `finish_write`.
   // `deferrable`: if no other row is due, also returns deferrable rows.
@@ -57,7 +57,7 @@
   void finish_write(const RowKey& key) { in_flight_.erase(key); }
   // Returns whether the row is queued or being written.
   [[nodiscard]] bool contains(const RowKey& key) const { return entries_.contains(key) || in_flight_.contains(key); }
-  // Number of due rows, and how long the oldest has been due.
+  // Number of due rows, and the time since the oldest of them became due.
   struct Backlog {
     std::size_t rows = 0;
     Duration oldest{0};
@@ -89,15 +89,15 @@
   DueOrder& queue_of(WritePriority priority) { return queues_.at(static_cast<std::size_t>(priority)); }
   void pop_due_of(WritePriority priority, std::size_t max_rows, Time now, std::vector<RowKey>& out) {
     auto& order = queue_of(priority);
-    for (auto it = order.begin(); it != order.end() && it->first <= now && out.size() < max_rows;) {
-      if (in_flight_.contains(it->second)) {
-        ++it;
+    for (auto row = order.begin(); row != order.end() && row->first <= now && out.size() < max_rows;) {
+      if (in_flight_.contains(row->second)) {
+        ++row;
         continue;
       }
-      out.push_back(it->second);
-      in_flight_.insert(it->second);
-      entries_.erase(it->second);
-      it = order.erase(it);
+      out.push_back(row->second);
+      in_flight_.insert(row->second);
+      entries_.erase(row->second);
+      row = order.erase(row);
     }
   }
 
--- a/src/core/placement/heuristic_table.hpp
+++ b/src/core/placement/heuristic_table.hpp
@@ -23,8 +23,8 @@
   std::string_view description;  // one line, shown to operators
 };
 
-// Returns the heuristics in the order in which they are applied: the first decides where a task fits at all; the others
-// add to the scores of those entries.
+// Returns the heuristics in the order in which they are applied: the first allows the entries that fit; the others add
+// to the scores of the allowed entries.
 std::span<const Heuristic> heuristic_table();
 
 // Returns the table as text for `--help`: one line per property, with its default and its heuristic.
--- a/src/core/placement/heuristics.cpp
+++ b/src/core/placement/heuristics.cpp
@@ -61,8 +61,8 @@
 template <class F>
 void add_per_row(const PlacementProblem& problem, ScoreMatrix& matrix, F&& value) {
   for (std::size_t r = 0; r < problem.jobs.size(); ++r) {
-    const double v = value(problem.jobs[r]);
-    for_allowed(problem, matrix, r, [&](std::size_t c) { matrix.at(r, c) += v; });
+    const double score = value(problem.jobs[r]);
+    for_allowed(problem, matrix, r, [&](std::size_t c) { matrix.at(r, c) += score; });
   }
 }
 
@@ -76,8 +76,8 @@
   }
   if (!job.effective_deadline) return problem.policy.deadline_min;
   // Measured from submission. The benchmark ratio is 1, so Nxtime is the same on every machine.
-  const double extime = to_seconds(problem.now - job.submitted) + pending.estimate_s;
-  return deadline_curve(problem.policy, extime, to_seconds(*job.effective_deadline - job.submitted),
+  const double extime_s = to_seconds(problem.now - job.submitted) + pending.estimate_s;
+  return deadline_curve(problem.policy, extime_s, to_seconds(*job.effective_deadline - job.submitted),
                         pending.estimate_s);
 }
 
@@ -116,10 +116,10 @@
     std::size_t fitting = 0;
     for_allowed(problem, matrix, r, [&](std::size_t) { ++fitting; });
     if (fitting == 0) continue;
-    const auto n = static_cast<double>(fitting);
-    const double urgency = f1 * n;       // sum of f1 over the allowed machines
-    const double divisor = inverse * n;  // sum of Max - f1
-    const double share = divisor > 0 ? inverse / divisor : 1.0 / n;
+    const auto machine_count = static_cast<double>(fitting);
+    const double urgency = f1 * machine_count;       // sum of f1 over the allowed machines
+    const double divisor = inverse * machine_count;  // sum of Max - f1
+    const double share = divisor > 0 ? inverse / divisor : 1.0 / machine_count;
     for_allowed(problem, matrix, r, [&](std::size_t c) { matrix.at(r, c) += urgency * share; });
   }
 }
@@ -149,8 +149,8 @@
 
 void anti_aging(const PlacementProblem& problem, ScoreMatrix& matrix) {
   add_per_row(problem, matrix, [&](const PendingJob& pending) {
-    const double waited = to_seconds(problem.now - pending.job->waiting_since);
-    return std::min(problem.policy.aging_cap, problem.policy.aging_weight * std::max(0.0, waited));
+    const double waited_s = to_seconds(problem.now - pending.job->waiting_since);
+    return std::min(problem.policy.aging_cap, problem.policy.aging_weight * std::max(0.0, waited_s));
   });
 }
 
@@ -184,7 +184,7 @@
   }
 }
 
-// Work that can no longer be in time yields its capacity to work that can, and is done after it.
+// Lowers the scores of jobs that are expected to miss targets, so that work that can be in time is done first.
 void shortage(const PlacementProblem& problem, ScoreMatrix& matrix) {
   if (problem.policy.shortage_weight <= 0) return;
   add_per_row(problem, matrix, [&](const PendingJob& pending) {
@@ -192,7 +192,8 @@
   });
 }
 
-// Each job begins even under overload: users are promised that the largest jobs also begin within four minutes.
+// Raises the score of a first task that is overdue, so that each job begins even under overload: users are promised
+// that the largest jobs also begin within four minutes.
 void beginning(const PlacementProblem& problem, ScoreMatrix& matrix) {
   if (problem.policy.begin_weight <= 0) return;
   add_per_row(problem, matrix,
@@ -226,13 +227,13 @@
   const auto& job = *pending.job;
   const auto allowed = allowed_kinds(job.spec, problem.kinds);
   std::map<std::string, std::vector<std::size_t>> by_zone;
-  std::vector<std::vector<std::size_t>*> group(problem.kinds.size(), nullptr);
+  std::vector<std::vector<std::size_t>*> columns_of_kind(problem.kinds.size(), nullptr);
   for (std::size_t c = 0; c < problem.machines.size(); ++c) {
     const auto& candidate = problem.machines[c];
     if (allowed[candidate.kind] == 0 || !job.spec.need.fits_in(free[c])) continue;
     const auto& machine = *candidate.machine;
     if (machine.reserved_for && *machine.reserved_for != job.spec.id) continue;
-    auto& columns = group[candidate.kind];
+    auto& columns = columns_of_kind[candidate.kind];
     if (columns == nullptr) columns = &by_zone[job.spec.one_zone ? machine.zone : std::string{}];
     columns->push_back(c);
   }
@@ -295,9 +296,9 @@
 bool limit_binds(const PlacementProblem& problem, QuotaUsage used) {
   return std::ranges::any_of(problem.jobs, [&](const PendingJob& pending) {
     const auto& spec = pending.job->spec;
-    const auto can_start = std::min(pending.count, used.max_additional_tasks(spec.team, spec.need));
-    used.add(spec.team, spec.need, can_start);
-    return can_start < pending.count;
+    const auto startable = std::min(pending.count, used.max_additional_tasks(spec.team, spec.need));
+    used.add(spec.team, spec.need, startable);
+    return startable < pending.count;
   });
 }
 
@@ -309,7 +310,7 @@
   std::vector<std::size_t> order(problem.jobs.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::ranges::stable_sort(order, [&](auto a, auto b) { return scores[a] > scores[b]; });
-  std::map<std::string, const Job*> blocked_by_limit;  // by team, the best row that cannot start whole
+  std::map<std::string, const Job*> blocked_by_limit;  // by team, the best row that cannot start all its tasks
   for (const auto r : order) {
     auto& pending = problem.jobs[r];
     const auto& spec = pending.job->spec;
@@ -319,9 +320,9 @@
       if (needs_more(best->second->spec.need, spec.need)) pending.reserved_headroom = best->second->spec.need;
       continue;
     }
-    const auto can_start = std::min(pending.count, used.max_additional_tasks(spec.team, spec.need));
-    used.add(spec.team, spec.need, can_start);
-    if (can_start < pending.count && spec.kind != JobKind::gang) blocked_by_limit.emplace(spec.team, pending.job);
+    const auto startable = std::min(pending.count, used.max_additional_tasks(spec.team, spec.need));
+    used.add(spec.team, spec.need, startable);
+    if (startable < pending.count && spec.kind != JobKind::gang) blocked_by_limit.emplace(spec.team, pending.job);
   }
 }
 
--- a/src/core/placement/heuristics.hpp
+++ b/src/core/placement/heuristics.hpp
@@ -24,7 +24,7 @@
   // In a shortage, for work that can be in time: replaces the rise of the deadline curve; 0 to 1, highest for the least
   // work.
   std::optional<double> shortage_order{};
-  bool begin_overdue = false;     // no task of it has begun for a long time: the row stands for its first task only
+  bool begin_overdue = false;     // none of its tasks has begun for a long time: the row stands for its first task only
   Resources reserved_headroom{};  // headroom of its team's limit for an earlier row
 };
 
--- a/src/core/placement/matcher.cpp
+++ b/src/core/placement/matcher.cpp
@@ -136,7 +136,8 @@
   return pick_gang_columns(row, only_zone, false, out);
 }
 
-// `cached`: considers only machines that have the image (true) or only those that lack it (false).
+// Picks columns for the tasks of the gang in row `row`. `cached`: considers only machines that have the image (true) or
+// only those that lack it (false).
 bool Matcher::pick_gang_columns(std::size_t row, const std::string* only_zone, std::optional<bool> cached,
                                 std::vector<std::size_t>& out) {
   const auto& job = *problem_.jobs[row].job;
@@ -152,14 +153,14 @@
   std::ranges::make_heap(heap, lower_score);
   while (!heap.empty() && out.size() < spec.tasks) {
     std::ranges::pop_heap(heap, lower_score);
-    const auto c = heap.back();
+    const auto column = heap.back();
     heap.pop_back();
-    if (cached && problem_.machines[c].machine->has_image(job.image) != *cached) continue;
-    auto free = problem_.machines[c].free;
-    const auto& zone = problem_.machines[c].machine->zone;
-    auto slots = problem_.machines[c].slots;
+    if (cached && problem_.machines[column].machine->has_image(job.image) != *cached) continue;
+    auto free = problem_.machines[column].free;
+    const auto& zone = problem_.machines[column].machine->zone;
+    auto slots = problem_.machines[column].slots;
     while (out.size() < spec.tasks && slots-- > 0 && spec.need.fits_in(free) && zone_allows(spec, counts, zone)) {
-      out.push_back(c);
+      out.push_back(column);
       free.add(spec.need, -1);
       ++counts[zone];
     }
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -38,7 +38,7 @@
 
 namespace {
 
-constexpr std::size_t max_machines_per_plan = 32;  // for one array at a time
+constexpr std::size_t max_machines_per_plan = 32;  // machines preempted for one array in one plan
 
 struct Candidate {
   const VictimMachine* machine = nullptr;
@@ -83,9 +83,9 @@
   }
   if (out.tasks == 0) return std::nullopt;
   const auto& job = *pending.job;
-  const bool cold =
+  const bool needs_fetch =
       job.spec.image_gb > 0 && !victim_machine.machine->has_image(job.image) && victim_machine.type->fetch_gb_per_s > 0;
-  const double fetch_s = cold ? job.spec.image_gb / victim_machine.type->fetch_gb_per_s : 0;
+  const double fetch_s = needs_fetch ? job.spec.image_gb / victim_machine.type->fetch_gb_per_s : 0;
   out.cost = out.lost_gpu_s + fetch_s * std::max(1.0, dominant_units(*victim_machine.type, job.spec.need) * out.tasks);
   return out;
 }
--- a/src/core/placement/preemption.hpp
+++ b/src/core/placement/preemption.hpp
@@ -34,10 +34,10 @@
 };
 using VictimTable = std::vector<VictimMachine>;
 
-// PROTOCOL, "Preemption": work of lower priority may be preempted, and another team's work beyond its guarantee for a
-// job within its own team's guarantee. Priority is compared first; the guarantee decides only between equal priorities.
-// If each were sufficient on its own, a job of higher priority without guarantee and one of lower priority within it
-// would preempt each other forever.
+// PROTOCOL, "Preemption": a job may preempt work of lower priority. A job within its team's guarantee may also preempt
+// work of another team that exceeds that team's guarantee. Priority is compared first; the guarantee decides only
+// between equal priorities. If either condition were sufficient alone, a job of higher priority without guarantee and
+// one of lower priority within it would preempt each other forever.
 bool may_preempt(const PendingJob& pending, const Victim& victim);
 // Returns the seconds that a task is given to save when it is preempted: 0 if it has no checkpoints or, for a task
 // outside a gang and if the policy allows unsaved stops, if the expected work since its last checkpoint is less than
--- a/src/core/reachability/downlink_health.cpp
+++ b/src/core/reachability/downlink_health.cpp
@@ -5,7 +5,8 @@
 namespace martenwall {
 
 namespace {
-// A single response may be lost; losing two in a row is rare. Every response repeats the instruction.
+// Consecutive misses from which a machine counts as unreachable. A single response may be lost; losing two in a row is
+// rare. Every response repeats the instruction.
 constexpr int unreachable_misses = 3;
 constexpr Duration probe_interval = seconds(4);
 }  // namespace
@@ -27,7 +28,7 @@
     proof_window_start_ = now;
     return;
   }
-  // Without a response, the session would have ended: the worker's lease counts from an answered report.
+  // Without a response, the incarnation would have ended: the worker's lease counts from an answered report.
   if (now - proof_window_start_ > lease) on_delivery_confirmed(now);
 }
 
--- a/src/core/reachability/downlink_health.hpp
+++ b/src/core/reachability/downlink_health.hpp
@@ -1,5 +1,6 @@
-// Whether a machine receives what its controllers send. Its heartbeats may arrive while responses and commands do not
-// reach it: its worker's lease then expires although the heartbeats were answered, and tasks placed on it never start.
+// Detects whether a machine receives what its controllers send. Its heartbeats may arrive while responses and commands
+// do not reach it: its worker's lease then expires although the heartbeats were answered, and tasks placed on it never
+// start.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -32,7 +33,7 @@
   [[nodiscard]] DownlinkState state() const { return state_; }
   [[nodiscard]] bool is_reachable() const { return state_ == DownlinkState::reachable; }
   [[nodiscard]] bool is_unreachable() const { return state_ == DownlinkState::unreachable; }
-  // Returns when the state was entered.
+  // Returns the time at which the state was entered.
   [[nodiscard]] Time since() const { return since_; }
   // Returns whether to send an empty command batch as a probe, and records the probe. While the machine is not
   // reachable, one is sent at intervals: a reply shows that the machine is reachable.
@@ -43,7 +44,7 @@
   DownlinkState state_ = DownlinkState::reachable;
   Time since_{};
   Incarnation incarnation_{};
-  Time proof_window_start_{};  // an incarnation that lives a lease longer than this shows that a response arrived
+  Time proof_window_start_{};  // an incarnation that lasts a lease longer than this has received a response
   Time last_probe_{Duration::min() / 2};
   int misses_ = 0;
 };
--- a/src/core/reachability/leader_reachability.cpp
+++ b/src/core/reachability/leader_reachability.cpp
@@ -6,9 +6,9 @@
 namespace martenwall {
 
 namespace {
-// How long a worker's visit counts. It counts at once, without waiting to see whether the worker reached the leader: a
-// worker that meets two unresponsive nodes needs ten seconds to return, half its lease. The leader compares the count
-// with the number of workers that report to it.
+// Time for which a worker's visit counts. A visit counts at once, without waiting to see whether the worker reached the
+// leader: a worker that encounters two unresponsive nodes needs ten seconds to return, half its lease. The leader
+// compares the count with the number of workers that report to it.
 constexpr Duration visit_validity = seconds(6);
 constexpr Duration report_validity = seconds(3);
 constexpr Duration suspicion_period = seconds(1.5);
@@ -31,7 +31,7 @@
   return visits_.size();
 }
 
-// Within this time, each healthy worker has reported once.
+// Each healthy worker has reported once within `window_`.
 LeaderReachability::LeaderReachability(const WorkerTimings& timings)
     : window_(seconds(timings.heartbeat_interval_s * 1.25 + 0.5)) {}
 
@@ -69,7 +69,7 @@
   }
   if (state_ == LeaderReachabilityState::reachable) transition_to(LeaderReachabilityState::suspected, now);
   if (now - since_ < suspicion_period) return false;
-  // A single report may be outdated if the store applied its write late: requires another report after it.
+  // A single report may be outdated if the store applied its write late, so a second report after it is required.
   if (static_cast<double>(stranded_since(since_ + Duration{1})) <= step_down_ratio * static_cast<double>(reporting))
     return false;
   transition_to(LeaderReachabilityState::unreachable, now);
--- a/src/core/reachability/leader_reachability.hpp
+++ b/src/core/reachability/leader_reachability.hpp
@@ -1,5 +1,5 @@
-// Which nodes the workers can reach. A leader that they cannot reach must step down before their leases end. A leader
-// that only lacks lost machines, or that is cut off together with all other nodes, must not.
+// Detects which nodes the workers can reach. A leader that they cannot reach must step down before their leases end. A
+// leader must not step down if only lost machines are missing, or if it is cut off together with all other nodes.
 #pragma once
 #include <map>
 #include <string>
@@ -27,7 +27,7 @@
 // Estimated state of the path from the workers to this node.
 enum class LeaderReachabilityState {
   reachable,    // no other node is reached by more workers
-  suspected,    // other nodes are, since recently
+  suspected,    // more workers reach another node, for a short time so far
   unreachable,  // stepped down for this reason; delays its next campaign
 };
 // Returns the name for log lines.
@@ -37,16 +37,17 @@
 class LeaderReachability {
  public:
   explicit LeaderReachability(const WorkerTimings& timings);
-  // Records that leadership began. Workers need some time to find the new leader and are not counted as missing before.
+  // Records that leadership began. Workers need some time to find the new leader and are not counted as missing until
+  // then.
   void on_leadership_began(Time now);
   // Records how many workers another node reports that could not reach this leader.
   void on_stranded_report(const std::string& node, std::size_t stranded, Time now);
-  // `reporting`: workers that reported here within `window`. Returns true if leadership should be given up.
+  // Returns whether this node should step down. `reporting`: number of workers that reported here within `window`.
   bool should_step_down(std::size_t reporting, Time now);
   void on_heartbeat(Time now);  // a worker reached this node, whatever the response was
   // Returns the time within which each healthy worker has reported once.
   [[nodiscard]] Duration window() const { return window_; }
-  // Returns how long this node waits for the others to campaign while no node leads.
+  // Returns the time for which this node lets the others campaign first while no node leads.
   [[nodiscard]] Duration campaign_delay(Time now) const;
   [[nodiscard]] LeaderReachabilityState state() const { return state_; }
   // Returns the highest number of stranded workers that any other node reported recently.
--- a/src/core/scheduler/capacity_manager.cpp
+++ b/src/core/scheduler/capacity_manager.cpp
@@ -20,7 +20,7 @@
 // The load counts as quiet after `min_quiet_s` plus this many mean submission intervals without a submission.
 constexpr double quiet_submission_intervals = 15;
 constexpr double min_quiet_s = 5;
-// If more than one machine in this many is unreachable, the fault is not in the machines.
+// If more than one in this many machines is unreachable, the machines are assumed not to be at fault.
 constexpr std::size_t min_machines_per_unreachable = 4;
 
 // Returns the index into arrays that distinguish ordinary (0) and spot (1) machines.
@@ -161,14 +161,14 @@
     case MachinePhase::draining:
       return machine.empty();
     case MachinePhase::lost:
-      // A machine without a heartbeat for longer than its lease may be partitioned or hung; if it returns, it has its
-      // images sooner than a new machine boots. A dead one is listed as failed by then and released at once
-      // (MachineInventory). When a zone was partitioned for 56 s, its machines were released 26 s before the partition
-      // healed.
+      // A machine without a heartbeat for longer than its lease may be partitioned or hung. If it recovers, its cached
+      // images are available sooner than on a new machine, which has to boot first. A dead machine is listed as failed
+      // by then and released at once (MachineInventory). When a zone was partitioned for 56 s, its machines were
+      // released 26 s before the partition healed.
       return now - machine.phase_since > options_.policy.lost_timeout;
     case MachinePhase::up:
-      // An unreachable machine costs as much as any other. If many machines are unreachable, the fault is not in the
-      // machines, and they are kept.
+      // An unreachable machine costs as much as any other. If many are unreachable, the machines are not at fault, so
+      // they are kept.
       return machine.downlink.is_unreachable() && machine.empty() &&
              now - machine.downlink.since() > options_.policy.lost_timeout && few_machines_unreachable();
     case MachinePhase::releasing:
@@ -200,8 +200,8 @@
   return now - state_.last_submission > std::min(options_.policy.quiet_period, scaled_quiet_period);
 }
 
-// Releases idle machines. Those beyond the expected growth of the load during one boot time cost more than they can
-// save.
+// Releases idle machines. Machines beyond the expected growth of the load during one boot time are released sooner,
+// because they cost more than they can save.
 void CapacityManager::release_idle(std::vector<Machine*> idle, Time now) {
   const auto& policy = options_.policy;
   double boot_s = 0;
@@ -228,7 +228,7 @@
   }
 }
 
-// ---- samples ----
+// ---- fleet samples ----
 
 void CapacityManager::record_fleet_demand(const PlacementProblem& problem, const WriteQueue& writes, Time now) {
   next_sample_ = now + sample_interval;
--- a/src/core/scheduler/capacity_manager.hpp
+++ b/src/core/scheduler/capacity_manager.hpp
@@ -31,7 +31,8 @@
 
   // Returns the requests to be sent to the cloud, each one once.
   std::vector<ScaleOutRequest> take_scale_out_requests();
-  // Adds the machines that the cloud granted. If they are fewer than requested, the rest counts as refused.
+  // Adds the machines that the cloud granted. If the cloud granted fewer than requested, the missing machines count as
+  // refused.
   void on_scale_out_granted(const ScaleOutRequest& request, const std::vector<MachineId>& ids, Time now);
   // Excludes the type, zone and pricing from requests for the policy's retry interval, and plans again at once.
   void on_scale_out_refused(const ScaleOutRequest& request, Time now);
--- a/src/core/scheduler/cluster_state.hpp
+++ b/src/core/scheduler/cluster_state.hpp
@@ -59,7 +59,7 @@
   std::map<JobId, Job> jobs;
   std::map<MachineId, Machine> machines;
   std::map<MachineId, Time> released_machines;  // time of release; late heartbeats must not restore these machines
-  std::map<JobId, Time> finished_jobs;  // time of the end under this leader; late reads must not restore these jobs
+  std::map<JobId, Time> finished_jobs;          // end times under this leader; late reads must not restore these jobs
   QuotaUsage quota_usage;
   std::vector<std::string> image_names;     // indexed by ImageId
   std::set<MachineId> machines_to_command;  // machines that may have commands due
--- a/src/core/scheduler/dependency_tracker.cpp
+++ b/src/core/scheduler/dependency_tracker.cpp
@@ -15,7 +15,8 @@
   std::optional<JobId> cancelled;
   for (const auto& dependency : job.spec.dependencies) {
     const Job* known = std::as_const(state_).find_job(dependency);
-    // The outcome of a residual job is not known: the rows of done jobs can remain as well.
+    // The outcome of a residual job is unknown: task rows of done jobs can remain too, not only those of cancelled
+    // jobs.
     const bool stored = known != nullptr && known->end_is_stored && !known->residual;
     if (stored && known->phase == JobPhase::done) continue;
     if (stored) cancelled = dependency;
@@ -60,7 +61,7 @@
   if (known == nullptr || known->residual) lookups_due_.insert(id);
 }
 
-// ---- ends ----
+// ---- ends of jobs ----
 
 std::set<JobId> DependencyTracker::take_dependents(const JobId& id) {
   lookups_due_.erase(id);
--- a/src/core/scheduler/dependency_tracker.hpp
+++ b/src/core/scheduler/dependency_tracker.hpp
@@ -22,8 +22,8 @@
   std::optional<JobId> add(Job& job, Time now);
   // Removes an ended job as a dependent of its open dependencies.
   void remove(const Job& job);
-  // Recomputes the urgency that the job's dependencies inherited from it after its cancellation, and so on up the
-  // graph.
+  // After the cancellation of a job, recomputes the urgency that its direct and indirect dependencies inherited from
+  // it.
   void recompute_urgency(const Job& cancelled);
 
   // Removes and returns the dependents of a job whose end is known to be stored.
@@ -47,7 +47,7 @@
   // Returns whether the ends of all jobs that this job's cancellation cancelled are stored.
   [[nodiscard]] bool is_cascade_stored(const JobId& id) const { return !open_cascades_.contains(id); }
 
-  // Returns the dependencies that this leader knows nothing about, to be looked up in the store. Each one is returned
+  // Returns the dependencies that are unknown to this leader and must be looked up in the store. Each one is returned
   // once, and again only after `retry_lookup`.
   std::vector<JobId> take_lookups();
   // Schedules the lookup again after it got no answer.
--- a/src/core/scheduler/failure_tracker.hpp
+++ b/src/core/scheduler/failure_tracker.hpp
@@ -1,5 +1,6 @@
-// Attributes task failures to the job or to the machine, by which other jobs failed on the machine and on which other
-// machines the job failed. A faulty job is retried with a long back-off; a faulty machine is quarantined.
+// Attributes task failures to the job or to the machine, based on the other jobs that failed on the machine and the
+// other machines on which the job failed. A faulty job is retried with a long back-off; a faulty machine is
+// quarantined.
 #pragma once
 #include <vector>
 
@@ -12,7 +13,7 @@
   FailureTracker(ClusterState& state, const SchedulerOptions& options, const LeaderLog& log)
       : state_(state), options_(options), log_(log) {}
 
-  // Handles a task of the job that failed on the machine by an error of its own.
+  // Handles a task of the job that ended on the machine with `ExitCause::error`.
   void on_task_error(Machine& machine, Job& job, Time now);
   // Marks the job as suspect if it failed on several machines while none of its tasks is done.
   void review_suspicion(Job& job, Time now);
@@ -23,8 +24,8 @@
   // Discards the job's failures as evidence against machines. Machines that were quarantined because of them return to
   // service.
   void forget_failures_of(const Job& job, Time now);
-  // Quarantines the machines on which too many jobs failed that are not at fault themselves. The caller must drain
-  // them.
+  // Quarantines the machines on which too many jobs failed, not counting jobs that are known to fail elsewhere too.
+  // The caller must drain the returned machines.
   std::vector<Machine*> quarantine_failing(Time now);
 
  private:
--- a/src/core/scheduler/leader_log.hpp
+++ b/src/core/scheduler/leader_log.hpp
@@ -56,7 +56,7 @@
 enum class RemovalReason : std::uint8_t { vanished, released };
 std::string_view name_of(RemovalReason reason);
 
-// Reason for clearing a job's suspicion of failing by its own fault.
+// Reason why a job is no longer suspected of causing its own failures.
 enum class ClearReason : std::uint8_t { task_completed, replica_keeps_running };
 std::string_view name_of(ClearReason reason);
 
--- a/src/core/scheduler/machine_inventory.cpp
+++ b/src/core/scheduler/machine_inventory.cpp
@@ -9,7 +9,8 @@
   auto [it, added] = state_.machines.try_emplace(listed.id, listed.id);
   Machine& machine = it->second;
   if (added) {
-    // Requested by an earlier leader, or by a request that was executed late. It is used like any other machine.
+    // The machine was requested by an earlier leader, or by a request that was executed late. It is used like any
+    // other.
     machine.first_known = now - seconds(listed.age_s);
     machine.last_report_at = machine.idle_since = now;
     machine.lease_renewed_at = std::max(now, options_.previous_leader_valid_until);
--- a/src/core/scheduler/placement_stage.cpp
+++ b/src/core/scheduler/placement_stage.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-// ---- the problem ----
+// ---- construction of the placement problem ----
 
 // Returns the unfinished jobs that their team's guarantee covers, in the order in which they became ready.
 std::set<JobId> PlacementStage::jobs_within_guarantee() const {
@@ -85,8 +85,8 @@
 }
 
 // Returns whether the job may use spot machines only. Best-effort work that may run on spot machines leaves ordinary
-// machines to jobs that may not; there it would be preempted for the next gang, and would cost three times as much. The
-// restriction is lifted after a waiting period, in case spot machines are not available.
+// machines to jobs that may not. On an ordinary machine it would be preempted for the next gang, and would cost three
+// times as much. The restriction is lifted after a waiting period, in case spot machines are not available.
 bool PlacementStage::is_restricted_to_spot(const Job& job, bool any_spot, Time now) const {
   if (!job.spec.spot || !state_.is_best_effort(job)) return false;
   const auto& policy = options_.policy;
@@ -157,7 +157,7 @@
   return problem;
 }
 
-// ---- placing ----
+// ---- placement of tasks ----
 
 QuotaUsage PlacementStage::match_and_place(PlacementProblem& problem, Time now) {
   reserve_for_gangs(problem, state_.quota_usage);
--- a/src/core/scheduler/quota_enforcer.hpp
+++ b/src/core/scheduler/quota_enforcer.hpp
@@ -15,8 +15,8 @@
   // Stops tasks beyond the limits. Tasks that do not run yet are stopped first, then those of lower priority. Does
   // nothing unless limits may have changed.
   void enforce(Time now);
-  // Returns the reason why no task of the job can start, if it is its team's limit; otherwise an empty string. Users
-  // read this text.
+  // Returns a text for users if no task of the job can start because of its team's limit, or because the team is not
+  // configured; otherwise an empty string.
   [[nodiscard]] std::string pending_reason(const Job& job) const;
 
  private:
--- a/src/core/scheduler/scheduler.cpp
+++ b/src/core/scheduler/scheduler.cpp
@@ -64,7 +64,7 @@
   auto [it, residual] = state_.jobs.try_emplace(row.job);
   Job& job = it->second;
   if (residual) {
-    // The job has ended: the old leader stored its cancellation but did not finish stopping its tasks.
+    // The job has ended: an earlier leader stored its cancellation but did not finish stopping its tasks.
     job.spec.id = row.job;
     job.spec.team = row.team;
     job.spec.need = row.need;
@@ -121,7 +121,7 @@
     rows_.finish_load(job, now);
     if (job.residual) continue;
     finish_load(job, now);
-    // The previous leader stored the last result but not the end of the job.
+    // If all tasks are done, an earlier leader stored the last result but not the end of the job.
     if (job.done.count() >= job.spec.tasks) finished.push_back(id);
     const bool partial = !job.placed.empty() && job.placed.size() != job.spec.tasks;
     if (job.spec.kind == JobKind::gang && partial) tasks_.stop_broken_gang(job, now);
@@ -189,7 +189,7 @@
   if (has_open_dependencies && (dependencies_.has_pending_lookups() || is_final(job->phase))) return std::nullopt;
   // A transaction without an answer may have stored the job's end. Another node could read that end and report it to
   // the user, after which this node would report the job as active again (`went_back` in the simulation of a day with
-  // late writes). Only the store has the answer.
+  // late writes). The status must then be read from the store.
   if (job->end_write_sent && !job->end_is_stored) return std::nullopt;
   JobStatus status{id, job->phase, std::min(job->done.count(), job->spec.tasks), job->running};
   // A final phase is reported only once it is stored. Until then the job is reported in its previous phase.
@@ -228,8 +228,8 @@
   auto problem = placement_.build_problem(now);
   cycle_size_ = {problem.jobs.size(), problem.machines.size(), 0};
   auto used = placement_.match_and_place(problem, now);
-  // Preemption runs before capacity planning, because jobs served by it need no further machine. It uses the capacity
-  // forecast of the previous plan to decide whether preemption is worthwhile.
+  // Preemption runs before capacity planning, because the jobs that it serves need no further machine. To decide
+  // whether a preemption is worthwhile, the preemptor uses the capacity forecast of the previous plan.
   cycle_size_.preemption_candidates = preemptor_.run(problem, now);
   capacity_.plan(problem, used, now);
   if (!capacity_.is_sample_due(now)) return;
--- a/src/core/scheduler/scheduler.hpp
+++ b/src/core/scheduler/scheduler.hpp
@@ -58,7 +58,7 @@
   // Returns whether the job reached a final phase under this leadership. An older read of its row must not restore it.
   [[nodiscard]] bool was_finished(const JobId& id) const { return state_.finished_jobs.contains(id); }
   [[nodiscard]] const Job* find_job(const JobId& id) const { return state_.find_job(id); }
-  // Returns the status that users may be given, or nothing if only the store has the answer.
+  // Returns the status to report to users, or nothing if it must be read from the store.
   [[nodiscard]] std::optional<JobStatus> status(const JobId& id) const;
   // Cancels the job. The response may be sent once `status` reports the cancellation. Returns false if the job is not
   // known to this leader.
--- a/src/core/scheduler/service_targets.hpp
+++ b/src/core/scheduler/service_targets.hpp
@@ -14,7 +14,7 @@
   // Returns the latest start times of the job's pending tasks, in seconds from `now`, one per target, tightest first;
   // they may be negative. `estimate_s`: the expected run time of a task.
   [[nodiscard]] std::vector<double> latest_starts(const Job& job, double estimate_s, Time now) const;
-  // Returns the times in which the job should start, in seconds from when it became ready. `within_guarantee`: the job
+  // Returns the times within which the job should start, in seconds since it became ready. `within_guarantee`: the job
   // is within its team's guarantee.
   [[nodiscard]] std::vector<double> start_targets(const Job& job, bool within_guarantee) const;
   // Returns whether the job's class has start targets.
--- a/src/core/scheduler/shortage_prioritizer.cpp
+++ b/src/core/scheduler/shortage_prioritizer.cpp
@@ -167,7 +167,7 @@
     const auto& result = results[i];
     const auto met = static_cast<double>(targets.size() - result.first_met_target);
     // If only a team's limit is short, arrays without a deadline are ordered by their targets as well: none of them can
-    // take a machine that work of higher priority then preempts.
+    // occupy a machine from which work of higher priority then preempts it.
     const bool by_targets = !result.machines_short && job.spec.kind == JobKind::array && !targets.empty();
     if (result.in_short_pool && met > 0 && (job.effective_deadline || by_targets)) {
       by_value.emplace_back(-met / std::max(result.work_s, min_work_s), &pending);
--- a/src/core/scheduler/shortage_prioritizer.hpp
+++ b/src/core/scheduler/shortage_prioritizer.hpp
@@ -1,6 +1,6 @@
 // Capacity shortages: determines which pending jobs can still meet their targets (load/overload_admission), given the
-// machines, priorities and team limits. The other jobs are marked as deferred, so that they leave the capacity to
-// these.
+// machines, priorities and team limits. The other jobs are marked as deferred, which leaves the capacity to the jobs
+// that can.
 #pragma once
 #include <map>
 #include <string>
--- a/src/core/scheduler/task_lifecycle.cpp
+++ b/src/core/scheduler/task_lifecycle.cpp
@@ -172,8 +172,8 @@
   if (job->orphans.erase({index, machine.id}) > 0) return;
   const auto holder = job->placed.find(index);
   if (holder == job->placed.end() || holder->second != machine.id) return;
-  // Two machines can hold the same task, if one has an orphan from an earlier leader. The task is free only when both
-  // placements are over.
+  // Two machines can hold the same task, if one of them has it as an orphan from an earlier leader. The task is free
+  // only when both placements are over.
   const auto other = job->orphans.lower_bound({index, MachineId{}});
   if (other != job->orphans.end() && other->first == index) {
     holder->second = other->second;
--- a/src/core/scheduler/worker_command_dispatcher.hpp
+++ b/src/core/scheduler/worker_command_dispatcher.hpp
@@ -19,8 +19,8 @@
   std::vector<CommandBatch> take_batches(Time now);
   // Handles the outcome of a batch that was sent directly.
   void on_outcome(const CommandBatch& batch, CommandOutcome outcome, Time now);
-  // Returns empty batches for the machines that have not reported to this leader, which announce the leader to them.
-  // Busy machines come first.
+  // Returns an empty batch for each machine that has not reported to this leader. The batch announces the leader to the
+  // machine. Busy machines come first.
   [[nodiscard]] std::vector<CommandBatch> announcements() const;
 
  private:
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -9,7 +9,7 @@
 
 namespace martenwall {
 
-// Wraps a value in a type of its own, so that ids of different kinds cannot be mixed up.
+// Wraps a value in a distinct type, so that ids of different kinds cannot be mixed up.
 template <class Tag, class Rep>
 class StrongType {
  public:
--- a/src/load/overload_admission.cpp
+++ b/src/load/overload_admission.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t resource_kinds = std::tuple_size_v<Amount>;
 
-// Runs passes of Moore's algorithm over all pools. What an earlier pass admitted stays admitted.
+// Runs passes of Moore's algorithm over all pools. Requests that an earlier pass admitted stay admitted.
 class AdmissionPass {
  public:
   AdmissionPass(const std::vector<Pool>& pools, const std::vector<WorkRequest>& requests, double efficiency)
@@ -57,13 +57,13 @@
       for (const auto pool : requests_[candidate.request].pools) evict_until_fit(pool, candidate.latest_s);
     }
   }
-  [[nodiscard]] bool is_admitted(std::size_t i) const { return admitted_[i] != 0; }
-  [[nodiscard]] double work_s(std::size_t i) const { return sizes_[i] * requests_[i].run_s; }
+  [[nodiscard]] bool is_admitted(std::size_t request) const { return admitted_[request] != 0; }
+  [[nodiscard]] double work_s(std::size_t request) const { return sizes_[request] * requests_[request].run_s; }
   [[nodiscard]] bool had_shortage(std::size_t pool) const { return accounts_[pool].had_shortage; }
 
  private:
   struct ClassQueue {
-    std::priority_queue<std::pair<double, std::size_t>> by_work;  // may contain requests that were evicted since
+    std::priority_queue<std::pair<double, std::size_t>> by_work;  // may contain requests that have been evicted
     std::size_t admitted = 0, total = 0;
     [[nodiscard]] double share() const { return static_cast<double>(admitted) / static_cast<double>(total); }
   };
@@ -74,42 +74,42 @@
   };
 
   // Returns the request's dominant share: its largest share of any pool's capacity.
-  [[nodiscard]] double size_of(std::size_t i) const {
+  [[nodiscard]] double size_of(std::size_t request) const {
     double out = 0;
-    for (const auto pool : requests_[i].pools) {
+    for (const auto pool : requests_[request].pools) {
       for (std::size_t k = 0; k < resource_kinds; ++k) {
-        if (pools_[pool].capacity[k] > 0) out = std::max(out, requests_[i].need[k] / pools_[pool].capacity[k]);
+        if (pools_[pool].capacity[k] > 0) out = std::max(out, requests_[request].need[k] / pools_[pool].capacity[k]);
       }
     }
     return out;
   }
 
   // Makes the request a candidate for eviction in all its pools.
-  void enqueue(std::size_t i) {
-    for (const auto pool : requests_[i].pools) {
-      auto& job_class = accounts_[pool].classes[requests_[i].job_class];
-      job_class.by_work.emplace(work_s(i), i);
+  void enqueue(std::size_t request) {
+    for (const auto pool : requests_[request].pools) {
+      auto& job_class = accounts_[pool].classes[requests_[request].job_class];
+      job_class.by_work.emplace(work_s(request), request);
       ++job_class.admitted;
       ++job_class.total;
     }
   }
 
-  void set_admitted(std::size_t i, double sign) {
-    admitted_[i] = sign > 0 ? 1 : 0;
-    for (const auto pool : requests_[i].pools) {
+  void set_admitted(std::size_t request, double sign) {
+    admitted_[request] = sign > 0 ? 1 : 0;
+    for (const auto pool : requests_[request].pools) {
       for (std::size_t k = 0; k < resource_kinds; ++k) {
-        accounts_[pool].work[k] += sign * requests_[i].need[k] * requests_[i].run_s;
+        accounts_[pool].work[k] += sign * requests_[request].need[k] * requests_[request].run_s;
       }
     }
   }
 
-  // Returns whether the admitted work can start by `latest_s`. Free capacity takes work at once; the rest becomes
-  // available as running work ends, at a rate proportional to the capacity.
+  // Returns whether the admitted work can start by `latest_s`. Free capacity is available at once; capacity in use
+  // becomes available as running work ends, at a rate proportional to the total capacity.
   [[nodiscard]] bool fits(std::size_t pool, double latest_s) const {
-    const auto& p = pools_[pool];
+    const auto& shared = pools_[pool];
     for (std::size_t k = 0; k < resource_kinds; ++k) {
-      if (std::isinf(p.capacity[k])) continue;
-      const double available = p.free[k] * mean_run_s_ + efficiency_ * p.capacity[k] * latest_s;
+      if (std::isinf(shared.capacity[k])) continue;
+      const double available = shared.free[k] * mean_run_s_ + efficiency_ * shared.capacity[k] * latest_s;
       if (accounts_[pool].work[k] > available * (1 + 1e-9) + 1e-9) return false;
     }
     return true;
@@ -131,9 +131,9 @@
       if (!job_class.by_work.empty() && (best == nullptr || job_class.share() > best->share())) best = &job_class;
     }
     if (best == nullptr) return false;
-    const auto i = best->by_work.top().second;
-    set_admitted(i, -1);
-    for (const auto other : requests_[i].pools) --accounts_[other].classes[requests_[i].job_class].admitted;
+    const auto largest = best->by_work.top().second;
+    set_admitted(largest, -1);
+    for (const auto other : requests_[largest].pools) --accounts_[other].classes[requests_[largest].job_class].admitted;
     return true;
   }
 
@@ -160,9 +160,9 @@
   pass.pass(std::move(candidates));
   for (std::size_t i = 0; i < requests.size(); ++i) {
     out[i].work_s = pass.work_s(i);
-    for (const auto p : requests[i].pools) {
-      out[i].in_short_pool = out[i].in_short_pool || pass.had_shortage(p);
-      out[i].machines_short = out[i].machines_short || (pass.had_shortage(p) && !pools[p].is_team_limit);
+    for (const auto pool : requests[i].pools) {
+      out[i].in_short_pool = out[i].in_short_pool || pass.had_shortage(pool);
+      out[i].machines_short = out[i].machines_short || (pass.had_shortage(pool) && !pools[pool].is_team_limit);
     }
   }
   return out;
@@ -175,7 +175,7 @@
   auto out = find_short_pools(pools, requests, efficiency);
   if (std::ranges::none_of(out, &AdmissionResult::in_short_pool)) return out;
   std::size_t max_targets = 0;
-  for (const auto& c : requests) max_targets = std::max(max_targets, c.latest_start_s.size());
+  for (const auto& request : requests) max_targets = std::max(max_targets, request.latest_start_s.size());
   AdmissionPass pass_by_target{pools, requests, efficiency};
   for (std::size_t first_met_target = 0; first_met_target < max_targets; ++first_met_target) {
     std::vector<AdmissionPass::Candidate> candidates;
--- a/src/load/overload_admission.hpp
+++ b/src/load/overload_admission.hpp
@@ -16,7 +16,7 @@
 // CPUs, GPUs and GB, or these amounts times seconds.
 using Amount = std::array<double, 3>;
 
-// Capacity that some requests share: all machines, the machines of some kinds, or what a team's limit leaves.
+// Capacity that some requests share: all machines, the machines of some kinds, or the unused part of a team's limit.
 struct Pool {
   Amount free{};               // free now
   Amount capacity{};           // total, free or in use by jobs of the same requests; infinite if it does not bound them
--- a/src/load/service_record.cpp
+++ b/src/load/service_record.cpp
@@ -35,7 +35,7 @@
 }
 
 std::string ServiceRecord::minute_line(std::size_t max_entries) {
-  std::vector<ServiceCounts> minute;
+  std::vector<ServiceCounts> changes;
   for (const auto& [key, counts] : counts_) {
     const auto& before = last_reported_[key];
     ServiceCounts delta = counts;
@@ -45,20 +45,20 @@
     delta.in_time -= before.in_time;
     delta.late -= before.late;
     delta.wait_s -= before.wait_s;
-    if (delta.submitted + delta.started + delta.done + delta.late > 0) minute.push_back(std::move(delta));
+    if (delta.submitted + delta.started + delta.done + delta.late > 0) changes.push_back(std::move(delta));
   }
   last_reported_ = counts_;
-  std::ranges::stable_sort(minute, {}, &ServiceCounts::share);
+  std::ranges::stable_sort(changes, {}, &ServiceCounts::share);
   std::ostringstream out;
   out << std::fixed;
-  for (std::size_t i = 0; i < minute.size() && i < max_entries; ++i) {
-    const auto& s = minute[i];
-    const double wait_s = s.started == 0 ? 0 : s.wait_s / static_cast<double>(s.started);
-    out << (i > 0 ? "; " : "") << s.job_class << "/" << s.team << " " << s.submitted << " taken, " << s.started
-        << " started after " << std::setprecision(0) << wait_s << " s, " << s.done << " done, " << std::setprecision(2)
-        << s.share() << " in time";
+  for (std::size_t i = 0; i < changes.size() && i < max_entries; ++i) {
+    const auto& entry = changes[i];
+    const double wait_s = entry.started == 0 ? 0 : entry.wait_s / static_cast<double>(entry.started);
+    out << (i > 0 ? "; " : "") << entry.job_class << "/" << entry.team << " " << entry.submitted << " taken, "
+        << entry.started << " started after " << std::setprecision(0) << wait_s << " s, " << entry.done << " done, "
+        << std::setprecision(2) << entry.share() << " in time";
   }
-  if (minute.size() > max_entries) out << "; " << minute.size() - max_entries << " more served better";
+  if (changes.size() > max_entries) out << "; " << changes.size() - max_entries << " more served better";
   return out.str();
 }
 
--- a/src/load/service_record.hpp
+++ b/src/load/service_record.hpp
@@ -1,5 +1,5 @@
-// Counts of the service that each job class and team received since this leader took over. Operators can see from them
-// which users are not being served while it happens, before the users report it.
+// Counts of the service that each job class and team received since this leader took over. They show operators which
+// users are not being served at present, before those users report it.
 #pragma once
 #include <cstddef>
 #include <cstdint>
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -138,17 +138,17 @@
 }
 
 void Metrics::set(const std::vector<load::ServiceCounts>& served) {
-  for (const auto& s : served) {
+  for (const auto& counts : served) {
     const auto set = [&](prometheus::Family<prometheus::Gauge>& family, prometheus::Labels labels, double value) {
-      labels.insert({{"class", s.job_class}, {"team", s.team}});
+      labels.insert({{"class", counts.job_class}, {"team", counts.team}});
       family.Add(labels).Set(value);
     };
-    set(served_jobs_, {{"event", "taken"}}, static_cast<double>(s.submitted));
-    set(served_jobs_, {{"event", "started"}}, static_cast<double>(s.started));
-    set(served_jobs_, {{"event", "done"}}, static_cast<double>(s.done));
-    set(served_jobs_, {{"event", "late"}}, static_cast<double>(s.late));
-    set(served_share_, {}, s.share());
-    set(served_wait_, {}, s.started == 0 ? 0 : s.wait_s / static_cast<double>(s.started));
+    set(served_jobs_, {{"event", "taken"}}, static_cast<double>(counts.submitted));
+    set(served_jobs_, {{"event", "started"}}, static_cast<double>(counts.started));
+    set(served_jobs_, {{"event", "done"}}, static_cast<double>(counts.done));
+    set(served_jobs_, {{"event", "late"}}, static_cast<double>(counts.late));
+    set(served_share_, {}, counts.share());
+    set(served_wait_, {}, counts.started == 0 ? 0 : counts.wait_s / static_cast<double>(counts.started));
   }
 }
 
--- a/src/relay/worker_balancer.cpp
+++ b/src/relay/worker_balancer.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 constexpr Duration load_validity = seconds(3);  // each node reports its load at least once a second
-constexpr double share_tolerance_factor = 1.2;  // a node moves workers if it holds more than its fair share times this
-constexpr double share_tolerance_workers = 8;   // plus these: a few workers do not justify reconnections
+constexpr double share_tolerance_factor = 1.2;  // multiple of its fair share that a node may hold
+constexpr double share_tolerance_workers = 8;  // extra workers that a node may hold: a few do not justify reconnections
 constexpr double moves_per_worker_second = 0.02;  // per worker held, so that they do not all reconnect at once
 constexpr double min_moves_per_second = 4;
 constexpr double max_fill_fraction = 0.97;        // other nodes are filled up to this fraction of their capacity
-constexpr Duration return_window = seconds(12);   // two silent nodes cost a worker 10 s
-constexpr Duration avoid_duration = seconds(30);  // for a node that a worker returned from
+constexpr Duration return_window = seconds(12);   // a worker that tries two unresponsive nodes returns after 10 s
+constexpr Duration avoid_duration = seconds(30);  // no workers are moved to a node from which one returned
 }  // namespace
 
 WorkerBalancer::WorkerBalancer(std::string node, double leader_weight)
@@ -63,15 +63,15 @@
                                                                                        const FleetTotals& totals,
                                                                                        Time now) {
   auto best = others_.end();
-  double most_spare = 0;
+  double max_spare = 0;
   for (auto it = others_.begin(); it != others_.end(); ++it) {
     const OtherNode& other = it->second;
     if (now - other.updated_at > load_validity || now < other.avoid_until) continue;
     const double limit =
         full ? static_cast<double>(other.load.capacity) * max_fill_fraction : fair_share(it->first, other.load, totals);
     const double spare = limit - other.expected_workers();
-    if (spare <= most_spare) continue;
-    most_spare = spare;
+    if (spare <= max_spare) continue;
+    max_spare = spare;
     best = it;
   }
   return best;
--- a/src/relay/worker_balancer.hpp
+++ b/src/relay/worker_balancer.hpp
@@ -53,7 +53,7 @@
     NodeLoad load;
     Time updated_at{};
     std::size_t moved_since_update = 0;  // from this node, since its load was updated
-    Time avoid_until{};                  // workers do not reach it
+    Time avoid_until{};                  // until then no workers are moved to it
     [[nodiscard]] double expected_workers() const { return static_cast<double>(load.workers + moved_since_update); }
   };
   struct Move {
--- a/src/runtime/http_server.hpp
+++ b/src/runtime/http_server.hpp
@@ -29,7 +29,7 @@
     Duration request_timeout = seconds(10);   // from the first to the last byte of a request
     Duration response_timeout = seconds(10);  // until the response has been sent
     // Connections with requests to paths of this prefix are counted separately and have an idle timeout of their own:
-    // there are many of them, and they yield to other connections.
+    // there are many of them, and a shorter timeout frees connections for other clients.
     std::string bulk_path{};
     Duration bulk_idle_timeout = seconds(90);
   };
--- a/src/runtime/loop.hpp
+++ b/src/runtime/loop.hpp
@@ -52,7 +52,7 @@
   [[noreturn]] void run();
   // Runs one iteration over timers and ready descriptors; waits for the next event.
   void step();
-  // Runs one iteration without waiting, for callers that advance the clock. Returns false if nothing was to be done.
+  // Runs one iteration without waiting, for callers that advance the clock. Returns false if there was nothing to do.
   bool poll();
 
   // Registers a descriptor for `wait_io`; Socket registers its own.
--- a/src/service/cancellation_service.cpp
+++ b/src/service/cancellation_service.cpp
@@ -6,8 +6,8 @@
 namespace martenwall::service {
 
 namespace {
-constexpr Duration forward_timeout = seconds(2);         // of a user's 5 s; then an inbox entry is written instead
-constexpr Duration result_timeout = seconds(3);          // by then the final state must be stored
+constexpr Duration forward_timeout = seconds(2);  // a user waits 5 s; after the timeout an inbox entry is written
+constexpr Duration result_timeout = seconds(3);   // maximum wait for the final state to be stored
 constexpr Duration result_poll_interval = seconds(0.4);  // each poll is a request to the store
 }  // namespace
 
--- a/src/service/cloud_service.cpp
+++ b/src/service/cloud_service.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 constexpr double follower_share =
-    0.15;  // of the cloud's rate limit, for the machine types; followers share the remainder
+    0.15;  // fraction of the cloud's rate limit: followers share what exceeds `leader_share`, for the machine types
 constexpr double leader_share = 0.7;
-constexpr Duration forwarding_period = seconds(20);   // after the leader's last forwarded request
+constexpr Duration forwarding_period = seconds(20);   // since the last request forwarded for a leader
 constexpr Duration direct_retry_delay = seconds(10);  // before the cloud is tried directly again
 constexpr Duration peer_timeout =
-    seconds(5);  // per node: its own request may take 3 s, plus its wait for the rate limit
+    seconds(5);  // per node: the forwarded request may take 3 s, plus the node's wait for the rate limit
 constexpr Duration forwarded_timeout = seconds(3);
 constexpr Duration read_timeout = seconds(3);
 constexpr Duration change_timeout = seconds(4);  // also for a page of the machine list, which is long
--- a/src/service/cloud_service.hpp
+++ b/src/service/cloud_service.hpp
@@ -1,4 +1,4 @@
-// The cloud API: machine types, scaling out and in, and the machine list, which lags behind.
+// The cloud API: machine types, scaling out and in, and the machine list, which may be out of date.
 #pragma once
 #include <string>
 #include <vector>
--- a/src/service/configuration_changes.cpp
+++ b/src/service/configuration_changes.cpp
@@ -17,7 +17,7 @@
 constexpr Duration retry_pause = seconds(0.2);
 constexpr std::size_t max_queued_changes = 1000;
 constexpr std::size_t max_batch_size = 16;
-constexpr std::size_t max_change_rows = 32;  // older ones are deleted
+constexpr std::size_t max_change_rows = 32;  // older rows are deleted
 constexpr std::size_t max_history_bytes = 48 * 1024;
 constexpr std::size_t max_author_bytes = 80;
 
@@ -289,8 +289,9 @@
   std::ranges::reverse(changes);  // newest first
   json entries = json::array();
   std::size_t bytes = 0;
-  for (const auto& c : changes) {
-    json entry{{"version", c.version.value()}, {"atMs", c.at_ms}, {"by", c.author}, {"patch", c.patch}};
+  for (const auto& change : changes) {
+    json entry{
+        {"version", change.version.value()}, {"atMs", change.at_ms}, {"by", change.author}, {"patch", change.patch}};
     bytes += entry.dump().size();
     if (bytes > max_history_bytes) break;
     entries.push_back(std::move(entry));
--- a/src/service/configuration_changes.hpp
+++ b/src/service/configuration_changes.hpp
@@ -19,8 +19,8 @@
   // Commits queued changes batch by batch. Never returns; started once by the node.
   rt::Task<void> run();
   // Answers an operator's command or another node. A change is answered once its outcome is known, within 9.5 s: status
-  // 200 applied (or nothing to change), 400 invalid, 409 another version than the expected one, 503 not applied, 504
-  // unknown whether it was applied.
+  // 200 applied (or nothing to change), 400 invalid, 409 not the expected version, 503 not applied, 504 unknown whether
+  // it was applied.
   rt::Task<wire::PeerReply> on_peer_request(wire::PeerRequest request);
 
  private:
@@ -36,7 +36,7 @@
   struct Transaction {
     std::vector<wire::Condition> conditions;
     std::vector<wire::StoreOp> operations;
-    ConfigurationVersion version;  // that the transaction creates
+    ConfigurationVersion version;  // created by the transaction
     std::string id;                // identifies the transaction if its answer is lost
   };
   // The configuration as read from the store.
@@ -45,8 +45,8 @@
     KeyVersion key_version;  // 0: there is no configuration
     wire::ConfigurationRow row;
   };
-  // The conditions that guarantee that all nodes learn of a first configuration, or why it cannot be created at the
-  // moment.
+  // The conditions that guarantee that all nodes learn of a first configuration, or the reason why none can be created
+  // at the moment.
   struct FirstChangeConditions {
     std::vector<wire::Condition> conditions;
     std::string refusal;  // empty: it can be created
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -71,21 +71,21 @@
   metrics::Metrics metrics;
 
   [[nodiscard]] Time now() const { return loop.now(); }
-  // Whether the state service responded within the last 3.5 s. Followers receive a response at least every 2 s, since
-  // they hold a watch for that long.
+  // Returns whether the state service responded within the last 3.5 s. Followers receive a response at least every 2 s,
+  // the time after which an open watch is answered at the latest.
   [[nodiscard]] bool reaches_store() const { return now() - store_answered_at < seconds(3.5); }
-  // Whether this node leads and `expected_term` is still the current term.
+  // Returns whether this node leads and `expected_term` is still the current term.
   [[nodiscard]] bool leads(std::uint64_t expected_term) const { return term == expected_term && scheduler != nullptr; }
-  // Whether this node leads with a lease that is valid at this moment. Updates the loop's clock: the process may have
-  // stalled since the last reading, and decisions that bind other nodes must not rely on a stale time.
+  // Returns whether this node leads with a lease that is valid at this moment. Updates the loop's clock: the process
+  // may have stalled since the last reading, and decisions that bind other nodes must not rely on a stale time.
   [[nodiscard]] bool has_valid_lease() const {
     return scheduler != nullptr && leadership.has_valid_lease(loop.update_time());
   }
-  // Whether decisions that depend on the operators' configuration are allowed.
+  // Returns whether decisions that depend on the operators' configuration are allowed.
   [[nodiscard]] bool may_decide() const { return validity.may_decide(loop.update_time()); }
-  // Whether tasks may be placed and started.
+  // Returns whether tasks may be placed and started.
   [[nodiscard]] bool may_start() const { return has_valid_lease() && may_decide(); }
-  // Whether the process stalled after the last lease renewal was sent: another node may have become the leader.
+  // Returns whether the process stalled after the last lease renewal was sent: another node may have become the leader.
   [[nodiscard]] bool resumed_after_stall() const { return last_renewal_sent_at < loop.last_stall().ended; }
   // Wakes the writer and the scheduling cycle if the scheduler has work for them.
   void notify_pending_work() {
@@ -93,9 +93,9 @@
     if (scheduler->has_writes(false, loop.now())) writes_due.notify();
     if (scheduler->needs_cycle()) cycle_due.notify();
   }
-  // Whether another node is known to hold the leader key.
+  // Returns whether another node is known to hold the leader key.
   [[nodiscard]] bool has_other_leader() const { return !leader.empty() && leader != settings.node; }
-  // Milliseconds since the Unix epoch.
+  // Returns the wall-clock time in milliseconds since the Unix epoch.
   static std::int64_t wall_ms();
   // Returns the number of task indices per v1 row, exactly as releases with format version 1 compute it: v1 rows are
   // keyed by number, so a different size would assign their contents to other tasks.
--- a/src/service/dependency_checker.hpp
+++ b/src/service/dependency_checker.hpp
@@ -22,10 +22,10 @@
     unknown,         // the store did not answer
   };
   Outcome outcome = Outcome::unknown;
-  std::vector<JobId> open_dependencies;  // those not known to be done
+  std::vector<JobId> open_dependencies;  // dependencies that are not known to be done
 };
 
-// Used by submissions before a dependent job is stored.
+// Checks the dependencies of a submitted job before the job is stored.
 class DependencyChecker {
  public:
   // All references belong to the node and outlive this checker.
--- a/src/service/dependency_lookups.cpp
+++ b/src/service/dependency_lookups.cpp
@@ -10,7 +10,7 @@
 constexpr Duration request_timeout = seconds(1);
 constexpr Duration lookup_interval = seconds(0.1);
 constexpr Duration failed_lookup_pause = seconds(0.2);  // an outage, or this node's share of requests is exhausted
-constexpr Duration not_found_pause = seconds(1);        // the job is at neither job key and not among the finished ones
+constexpr Duration not_found_pause = seconds(1);        // the ID has no row at either job key and no final state
 constexpr std::size_t min_range_lookup = 3;  // jobs; as many or more are read as key ranges, fewer one by one
 }  // namespace
 
@@ -60,8 +60,8 @@
   }
 }
 
-// Pages are ordered by key, so a page answers for each requested job between its first and its last key. Returns the
-// index of the first job ID that the page does not cover.
+// Handles the requested jobs that the page covers. Pages are ordered by key, so a page answers for each requested job
+// between its first and its last key. Returns the index of the first job ID that the page does not cover.
 std::size_t DependencyLookups::apply_page(std::uint64_t term, const std::vector<JobId>& ids, std::size_t first,
                                           const wire::StorePage& page) {
   std::map<std::string, const wire::json*> final_items;
--- a/src/service/health_check.hpp
+++ b/src/service/health_check.hpp
@@ -1,4 +1,4 @@
-// Tells the load balancer whether to send users to this node.
+// Decides whether the load balancer should send users to this node.
 #pragma once
 #include "service/context.hpp"
 #include "service/peer_service.hpp"
@@ -12,7 +12,7 @@
   HealthCheck(Context& ctx, PeerService& peers);
 
   // Result for GET /up: true if the machine types are known and either the store or the leader answered within the last
-  // seconds, or no other node is better off.
+  // 4 s, or other nodes answer but none of them reaches the store.
   [[nodiscard]] bool healthy() const;
 
  private:
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -160,7 +160,7 @@
   const auto reply = co_await peers_.call_node(leader, std::move(request), batch_timeout);
   --batches_in_flight_;
   const bool answered = assign_answers(batch, reply);
-  // A missing reply from a node that has lost the leadership says nothing about the link to the new leader.
+  // A missing reply from a node that has lost the leadership does not show the state of the link to the new leader.
   if (leader == link_.leader()) {
     link_.on_batch_result(answered, ctx_.now());
     if (answered) ctx_.leader_answered_at = ctx_.now();
@@ -178,7 +178,7 @@
   auto responses = wire::decode_responses(reply->body);
   if (!responses || responses->responses.size() != batch.size()) return false;
   for (std::size_t i = 0; i < batch.size(); ++i) {
-    // The node lost its leadership while it processed the batch: this is no answer.
+    // The node lost its leadership while it processed the batch, so this response does not count as an answer.
     if (responses->responses[i].kind == HeartbeatResponse::Kind::misdirected) continue;
     batch[i]->answer = std::move(responses->responses[i]);
     batch[i]->token = responses->token;
--- a/src/service/heartbeat_relay.hpp
+++ b/src/service/heartbeat_relay.hpp
@@ -18,7 +18,8 @@
 namespace martenwall::service {
 
 // Receives all heartbeats of a node and distributes the workers among the nodes. Only the leader decides on a
-// heartbeat: a follower delivers the leader's answer unchanged, and gives no answer of its own but 421.
+// heartbeat: a follower delivers the leader's answer unchanged, and its only other response to a valid heartbeat is
+// 421.
 class HeartbeatRelay {
  public:
   // `load` returns the number of worker connections at this node and its capacity; without it no worker is redirected
--- a/src/service/inbox_writer.hpp
+++ b/src/service/inbox_writer.hpp
@@ -13,7 +13,7 @@
   // Both must outlive this object.
   InboxWriter(Context& ctx, StoreClient& store);
 
-  // Announces a job in the store that the leader may not know: a write of the leader that was applied late, after the
+  // Announces a stored job that may be unknown to the leader, because a write of the leader was applied late, after the
   // leader had abandoned it, or at the moment of a failover. Without the entry the job would wait for the next leader.
   // Returns immediately; the entry is written in the background, at most once per job in 20 s.
   void announce_job(const JobId& id);
--- a/src/service/job_reader.cpp
+++ b/src/service/job_reader.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr Duration final_read_timeout =
-    seconds(0.7);  // two of these reads, or one after a row's read, fit into a lookup
+    seconds(0.7);  // a lookup has time for two of these reads, or for one after the read of a job row
 constexpr Duration release_read_timeout = seconds(0.5);  // leaves time for the reads of the dependencies
 constexpr int max_dependency_reads = 12;                 // per poll: more would not end within its timeout
 }  // namespace
--- a/src/service/job_reader.hpp
+++ b/src/service/job_reader.hpp
@@ -24,8 +24,8 @@
   [[nodiscard]] bool exists() const { return existence == Existence::exists; }
 };
 
-// Maximum time of a lookup. A user waits 2 s for a poll; an older read could return a state older than what another
-// node has told the user since.
+// Maximum time of a lookup. A user waits 2 s for a poll; an older read could return a state older than one that another
+// node has reported to the user since.
 constexpr Duration lookup_timeout = seconds(1.5);
 
 // Returns how many keys one compare-only transaction may name: by PROTOCOL four times as many as it may change.
@@ -42,8 +42,8 @@
   // valid lease.
   [[nodiscard]] std::optional<JobLookup> from_memory(const JobId& id) const;
 
-  // Returns the job's state from the store. 404 may be answered only for this function's `absent`: all rows were read
-  // and none exists. A leader adopts a job that it finds and did not know.
+  // Returns the job's state from the store. 404 may be answered only if this function returns `absent`: all rows were
+  // read and none exists. A leader adopts a job that it finds and did not know.
   rt::Task<JobLookup> read_status(JobId id);
 
   // Returns the job's final state from the store; `absent` only means that the job has not ended. Fills the cache of
--- a/src/service/job_validation.hpp
+++ b/src/service/job_validation.hpp
@@ -1,4 +1,4 @@
-// Checks whether a job can ever run, by the teams and machine types that a node knows.
+// Checks whether a job can ever run on the machine types and within the team limits that a node knows.
 #pragma once
 #include <optional>
 #include <vector>
--- a/src/service/key_versions.hpp
+++ b/src/service/key_versions.hpp
@@ -16,7 +16,7 @@
   void erase(const std::string& key) { versions_.erase(key); }
   // Removes all entries when a term begins.
   void clear() { versions_.clear(); }
-  // Whether the key is known to exist.
+  // Returns whether the key is known to exist.
   [[nodiscard]] bool contains(const std::string& key) const { return versions_.contains(key); }
   // Returns the key's version, or version 0, which the store uses for absent keys, if the key is not listed.
   [[nodiscard]] KeyVersion version_of(const std::string& key) const {
--- a/src/service/leader_inbox.cpp
+++ b/src/service/leader_inbox.cpp
@@ -32,10 +32,10 @@
       after = std::max(after, watch.page.revision);
       break;
     case StoreClient::WatchOutcome::too_old: {
-      auto all = co_await store_.list(wire::inbox_prefix);
-      if (!all || !ctx_.leads(term)) co_return std::vector<wire::StoreItem>{};
-      after = all->revision;
-      co_return std::move(all->items);
+      auto page = co_await store_.list(wire::inbox_prefix);
+      if (!page || !ctx_.leads(term)) co_return std::vector<wire::StoreItem>{};
+      after = page->revision;
+      co_return std::move(page->items);
     }
     case StoreClient::WatchOutcome::failed:
       co_await ctx_.loop.sleep(watch_retry_pause);
--- a/src/service/leader_recovery.cpp
+++ b/src/service/leader_recovery.cpp
@@ -7,8 +7,8 @@
 namespace martenwall::service {
 
 namespace {
-// Seconds of requests at the cloud's rate limit: enough to use the full rate despite slow responses, and short compared
-// with the boot time of a machine.
+// Maximum backlog of scale-out requests, in seconds at the cloud's rate limit: enough to use the full rate despite slow
+// responses, and short compared with the boot time of a machine.
 constexpr double max_scale_out_backlog_s = 4;
 constexpr double min_pending_scale_outs = 4;
 }  // namespace
@@ -30,7 +30,7 @@
                                                [log](const std::string& line) { log->info(line); });
   const bool jobs_loaded = co_await load_jobs(term, *scheduler, rows.jobs);
   if (!jobs_loaded) co_return read_error(term, "the jobs");
-  // No suspension from here on: `term` still leads when the scheduler is installed.
+  // The coroutine does not suspend from here on, so this node still leads in `term` when the scheduler is installed.
   for (const auto& item : rows.machines) {
     for (const auto& record : wire::decode_machines(item.key, item.value)) scheduler->load_machine(record, ctx_.now());
   }
--- a/src/service/node.cpp
+++ b/src/service/node.cpp
@@ -13,14 +13,15 @@
   // Reserves sockets for the state service, the cloud, workers and the other nodes.
   const std::size_t reserved = std::min<std::size_t>(150 + settings.max_connections / 10, settings.max_connections / 3);
   limits.max_connections = settings.max_connections - reserved;
-  // A healthy worker sends its next heartbeat within this time; an idle connection is closed to free it for another
-  // one.
+  // A healthy worker sends its next heartbeat within `bulk_idle_timeout`. A connection that is idle for longer is
+  // closed to free capacity for another one.
   limits.bulk_path = "/agent/";
   limits.bulk_idle_timeout = std::max(seconds(15), seconds(settings.workers.heartbeat_interval_s * 2.5));
   return limits;
 }
 
-// Reserves a sixth of the connections for users, and at least 16.
+// Returns the number of connections available to workers. A sixth of all connections, and at least 16, are reserved for
+// users.
 std::size_t max_worker_connections(const rt::HttpServer::Limits& limits) {
   return limits.max_connections -
          std::min(limits.max_connections, std::max<std::size_t>(16, limits.max_connections / 6));
@@ -29,7 +30,8 @@
 // Users give up after 60 s and retry after the time that a response states, so several retries must fit into that time.
 constexpr int max_retry_after_s = 8;
 
-// Each submission costs one change of the state service, whose write rate all nodes share.
+// Returns the retries per second that this node can accept. Each submission costs one change of the state service,
+// whose write rate all nodes share.
 double retries_per_second(const config::Settings& settings) {
   return settings.state_write_rps / static_cast<double>(settings.peers.size() + 1);
 }
@@ -124,8 +126,8 @@
     co_return co_await submissions_.submit(std::move(request.body));
   }
   if (path.starts_with("/api/jobs/")) {
-    std::string rest = path.substr(jobs_path.size() + 1);
-    co_return co_await route_job(request.method, std::move(rest));
+    std::string job_path = path.substr(jobs_path.size() + 1);
+    co_return co_await route_job(request.method, std::move(job_path));
   }
   co_return empty_response(404);
 }
@@ -139,15 +141,15 @@
   co_return co_await peer_requests_.handle(std::move(request));
 }
 
-rt::Task<rt::HttpResponse> Node::route_job(const std::string& method, std::string rest) {
+rt::Task<rt::HttpResponse> Node::route_job(const std::string& method, std::string job_path) {
   constexpr std::string_view suffix = "/cancel";
-  if (rest.ends_with(suffix)) {
+  if (job_path.ends_with(suffix)) {
     if (method != "POST") co_return empty_response(405);
-    rest.resize(rest.size() - suffix.size());
-    co_return co_await cancellations_.cancel(std::move(rest));
+    job_path.resize(job_path.size() - suffix.size());
+    co_return co_await cancellations_.cancel(std::move(job_path));
   }
   if (method != "GET") co_return empty_response(405);
-  co_return co_await status_queries_.status(std::move(rest));
+  co_return co_await status_queries_.status(std::move(job_path));
 }
 
 }  // namespace martenwall::service
--- a/src/service/node.hpp
+++ b/src/service/node.hpp
@@ -36,18 +36,18 @@
   void start();
   // Starts the services and runs the loop.
   [[noreturn]] void run();
-  // The port for users and workers; the one that the system chose if the settings specify port 0.
+  // Returns the port for users and workers; the one that the system chose if the settings specify port 0.
   [[nodiscard]] std::uint16_t users_port() const { return server_.port(); }
-  // The port for other nodes.
+  // Returns the port for other nodes.
   [[nodiscard]] std::uint16_t peers_port() const { return peers_.port(); }
-  // Read access to the node's state for tests and the scale run.
+  // Returns the node's state, for tests and the scale run.
   [[nodiscard]] const Context& context() const { return ctx_; }
 
  private:
   rt::Task<rt::HttpResponse> route(rt::HttpMessage request);
   rt::Task<rt::HttpResponse> route_path(rt::HttpMessage request);
   rt::Task<wire::PeerReply> route_peer(wire::PeerRequest request);
-  rt::Task<rt::HttpResponse> route_job(const std::string& method, std::string rest);
+  rt::Task<rt::HttpResponse> route_job(const std::string& method, std::string job_path);
 
   Context ctx_;
   const std::size_t max_worker_connections_;  // connections available to workers
--- a/src/service/peer_service.cpp
+++ b/src/service/peer_service.cpp
@@ -79,8 +79,8 @@
       add_idle_connection(addr, std::move(*socket));
       co_return reply;
     }
-    // An idle connection may have been closed by the other side, and the others with it. Every request over this link
-    // can be repeated.
+    // An idle connection may have been closed by the other side, and the other idle connections at the same time. Every
+    // request over this link can be repeated.
     if (ctx_.now() >= deadline) co_return std::nullopt;
     socket.reset();
     idle_connections_[addr].clear();
--- a/src/service/peer_service.hpp
+++ b/src/service/peer_service.hpp
@@ -49,7 +49,7 @@
     none_reaches_store,  // others answer, but none reaches the store
     serving,             // another node reaches the store
   };
-  // Considers only the pings of the last seconds.
+  // Considers only pings of the last 3 s.
   [[nodiscard]] Availability availability() const;
 
   // The listening port, also if the settings let the system choose it.
--- a/src/service/status_query_service.cpp
+++ b/src/service/status_query_service.cpp
@@ -55,8 +55,8 @@
 }
 
 // Adds the job's query to the queue. All polls of one job share the query that is waiting to be sent. A query that was
-// already sent is not shared: its answer may be older than this poll, whose user may have been told of the job's end in
-// between. Returns null if the queue is full.
+// already sent is not shared: its answer may be older than this poll, whose user may have been notified of the job's
+// end in the meantime. Returns null if the queue is full.
 std::shared_ptr<StatusQueryService::StatusQuery> StatusQueryService::enqueue(const JobId& id) {
   if (const auto queued = queued_by_job_.find(id); queued != queued_by_job_.end()) return queued->second;
   if (queue_.size() >= max_queued_queries) return nullptr;
@@ -166,8 +166,8 @@
   co_return co_await store_.find_existing(std::move(keys), compare_timeout);
 }
 
-// Jobs that the comparison shows to be active are answered first, before any further wait, so that no read but that of
-// this node's memory comes after the comparison. The remaining jobs are read row by row, which takes time.
+// Jobs that the comparison shows to be active are answered first, before any further wait, so that only this node's
+// memory is read after the comparison. The remaining jobs are read row by row, which takes time.
 rt::Task<void> StatusQueryService::answer_from_comparison(StatusQueries batch, KeyComparison compared) {
   StatusQueries remaining;
   for (const auto& query : batch) {
--- a/src/service/store_client.cpp
+++ b/src/service/store_client.cpp
@@ -135,19 +135,19 @@
 }
 
 rt::Task<std::optional<wire::StorePage>> StoreClient::list(std::string prefix) {
-  std::optional<wire::StorePage> all;
+  std::optional<wire::StorePage> merged;
   std::string after;
   for (;;) {
     auto page = co_await this->page(prefix, after);
     if (!page) co_return std::nullopt;
     const bool more = page->more && !page->items.empty();
     if (more) after = page->items.back().key;
-    if (!all) {
-      all = std::move(page);  // with the first page's revision: a watch from it misses no change
+    if (!merged) {
+      merged = std::move(page);  // with the first page's revision: a watch from it misses no change
     } else {
-      for (auto& item : page->items) all->items.push_back(std::move(item));
+      for (auto& item : page->items) merged->items.push_back(std::move(item));
     }
-    if (!more) co_return all;
+    if (!more) co_return merged;
   }
 }
 
--- a/src/service/store_client.hpp
+++ b/src/service/store_client.hpp
@@ -70,7 +70,7 @@
                           Duration timeout, Queueing queueing = Queueing::priority);
   // Determines which of the keys exist at a single revision, by a transaction that consists of conditions only.
   rt::Task<KeyComparison> find_existing(std::vector<std::string> keys, Duration timeout);
-  // Whether enough of this node's share of writes is unused for deferrable writes.
+  // Returns whether enough of this node's share of writes is unused for deferrable writes.
   [[nodiscard]] bool has_unused_write_rate();
   // Returns the used part of this node's share of requests, 0 to 1.
   [[nodiscard]] double request_share_used() { return 1 - requests_.fill_level(ctx_.now()); }
--- a/src/service/store_limits.hpp
+++ b/src/service/store_limits.hpp
@@ -15,7 +15,7 @@
   // Starts with the current limits.
   explicit StoreLimits(const config::Settings& settings);
 
-  // Which limits this node observes.
+  // Limits that this node observes.
   enum class Stage {
     current_limits,  // current sizes and rates
     lowered_sizes,   // announced sizes, current rates
@@ -30,13 +30,13 @@
   // lowered.
   bool on_rate_refused(Time now);
 
-  // Maximum size of a value, less the overhead of the transaction ID and framing.
+  // Returns the maximum size of a value in bytes, less the overhead of the transaction ID and framing.
   [[nodiscard]] std::size_t value_bytes() const;
-  // Maximum number of operations in one transaction.
+  // Returns the maximum number of operations in one transaction.
   [[nodiscard]] std::size_t txn_ops() const;
-  // Requests per second, of all nodes together.
+  // Returns the allowed requests per second, of all nodes together.
   [[nodiscard]] double rps() const;
-  // Written keys per second, of all nodes together.
+  // Returns the allowed written keys per second, of all nodes together.
   [[nodiscard]] double write_rps() const;
 
  private:
--- a/src/service/submission_service.cpp
+++ b/src/service/submission_service.cpp
@@ -140,7 +140,7 @@
   if (stored.outcome != TxnOutcome::committed) co_return co_await answer_already_stored(id);
   if (as_leader) leader_service_.adopt_job(term, std::move(job), KeyVersion{stored.revision.value()});
   // If this node lost the leadership during the write, the row was written without an inbox entry. The next leader may
-  // have loaded the store before that, and the job would wait for the load after.
+  // have loaded the store before that, and the job would wait until the store is loaded again.
   if (as_leader && !ctx_.leads(term)) co_await inbox_.write_entry(id);
   co_return status_response(201, JobStatus{id, JobPhase::pending, 0, 0});
 }
--- a/src/service/worker_service.hpp
+++ b/src/service/worker_service.hpp
@@ -21,8 +21,8 @@
   rt::Task<void> wait_for_role();
 
   // Returns the response to one heartbeat that arrived here or at another node; `misdirected` if this node does not
-  // lead. The caller must send it without suspending in between. A process stall between the two is harmless
-  // (docs/safety.md).
+  // lead. The caller must send it without suspending in between. A process stall between this call and the sending is
+  // harmless (docs/safety.md).
   HeartbeatResponse answer(const Heartbeat& heartbeat);
 
   // Encodes the answer as an HTTP response; `token` is that of the leader that gave it.
--- a/src/wire/configuration_codec.hpp
+++ b/src/wire/configuration_codec.hpp
@@ -22,7 +22,7 @@
   ConfigurationVersion version;
   json document = json::object();
   std::string transaction_id;                  // of the transaction that wrote it
-  std::vector<ConfigurationVersion> recorded;  // rows of changes that are there, oldest first
+  std::vector<ConfigurationVersion> recorded;  // versions whose rows of changes exist, oldest first
 };
 // Encodes the value of the configuration's key.
 json encode_configuration(const ConfigurationRow& row);
--- a/src/wire/store_codec.hpp
+++ b/src/wire/store_codec.hpp
@@ -189,7 +189,7 @@
 std::string stranded_workers_key(const std::string& node);
 // Returns whether an inbox key belongs to a node and not to a job.
 bool is_stranded_workers_key(const std::string& key);
-// Returns the node in such a key.
+// Returns the node in the inbox key of a node.
 std::string node_of_stranded_workers_key(const std::string& key);
 // Encodes the number of workers that a node cannot redirect to the leader.
 json encode_stranded_workers(std::size_t stranded);
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -52,7 +52,7 @@
 };
 
 // A zone was cut off for 56 s: 597 machines were returned two seconds after their leases expired, and replaced while
-// they came back (own zone day of atri, 0.76 -> 0.70 when the leader was not in the zone).
+// they came back (generated zone day of the site atri: 0.76 -> 0.70 if the leader was not in the zone).
 TEST(capacity, a_machine_silent_beyond_its_lease_is_kept_until_keeping_it_is_surely_not_worth_it) {
   FleetFixture fixture;
   fixture.send_heartbeat(FleetFixture::report("i-1", 1));
@@ -128,12 +128,13 @@
 TEST(capacity, floods_of_unknown_machines_and_tasks_get_bounded_responses) {
   FleetFixture fixture;
   for (int i = 0; i < 3000; ++i) {
-    auto r = FleetFixture::report(machine(i), 1);
+    auto heartbeat = FleetFixture::report(machine(i), 1);
     const std::uint32_t tasks = i % 100 == 0 ? 900 : 1;
     for (std::uint32_t t = 0; t < tasks; ++t) {
-      r.tasks.push_back({TaskId{JobId{"job-unknown"}, t}, Attempt{1}, TaskState::running, ExitCause::none, false});
+      heartbeat.tasks.push_back(
+          {TaskId{JobId{"job-unknown"}, t}, Attempt{1}, TaskState::running, ExitCause::none, false});
     }
-    const auto commands = fixture.send_heartbeat(r);
+    const auto commands = fixture.send_heartbeat(heartbeat);
     ASSERT_LE(commands.size(), 300U);
     ASSERT_GE(commands.size(), 1U);
     for (const auto& command : commands) ASSERT_EQ(Command::Verb::stop, command.verb);
@@ -143,11 +144,12 @@
   std::set<std::uint32_t> remaining;
   for (std::uint32_t t = 0; t < 900; ++t) remaining.insert(t);
   for (std::uint64_t sequence = 2; sequence < 8 && !remaining.empty(); ++sequence) {
-    auto r = FleetFixture::report("i-0", sequence);
+    auto heartbeat = FleetFixture::report("i-0", sequence);
     for (const auto t : remaining) {
-      r.tasks.push_back({TaskId{JobId{"job-unknown"}, t}, Attempt{1}, TaskState::running, ExitCause::none, false});
+      heartbeat.tasks.push_back(
+          {TaskId{JobId{"job-unknown"}, t}, Attempt{1}, TaskState::running, ExitCause::none, false});
     }
-    for (const auto& command : fixture.send_heartbeat(r)) remaining.erase(command.task.index);
+    for (const auto& command : fixture.send_heartbeat(heartbeat)) remaining.erase(command.task.index);
   }
   EXPECT_TRUE(remaining.empty());
 }
@@ -167,16 +169,16 @@
 // gets no commands.
 TEST(capacity, a_repeated_heartbeat_gets_the_same_response_and_an_older_one_gets_no_commands) {
   FleetFixture fixture;
-  auto r = FleetFixture::report("i-1", 5);
-  r.tasks.push_back({TaskId{JobId{"job-unknown"}, 0}, Attempt{1}, TaskState::running, ExitCause::none, false});
-  EXPECT_EQ(1U, fixture.send_heartbeat(r).size());
-  EXPECT_EQ(1U, fixture.send_heartbeat(r).size());
-  r.sequence = HeartbeatSequence{4};
-  EXPECT_TRUE(fixture.send_heartbeat(r).empty());
+  auto heartbeat = FleetFixture::report("i-1", 5);
+  heartbeat.tasks.push_back({TaskId{JobId{"job-unknown"}, 0}, Attempt{1}, TaskState::running, ExitCause::none, false});
+  EXPECT_EQ(1U, fixture.send_heartbeat(heartbeat).size());
+  EXPECT_EQ(1U, fixture.send_heartbeat(heartbeat).size());
+  heartbeat.sequence = HeartbeatSequence{4};
+  EXPECT_TRUE(fixture.send_heartbeat(heartbeat).empty());
 }
 
-// Found by the region's generated days: four machines idled in one zone, a gang of three that is to be spread waited
-// endlessly, and no machine was started in the other zone.
+// Found by the generated days of the region simulation: a gang of three that is to be spread over zones waited
+// endlessly although four machines were idle in one zone, because no machine was started in the other zone.
 TEST(capacity, a_gang_spread_over_zones_gets_machines_in_another_zone) {
   FleetFixture fixture;
   for (int i = 0; i < 4; ++i)
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -36,28 +36,28 @@
 TEST(settings, each_missing_field_is_named) {
   for (const auto& path : {"/member", "/bind", "/others/0/endpoint", "/external/state", "/facts/workers/lease_s",
                            "/facts/state/txn_ops", "/facts/teams/0/name", "/facts/resources/max_connections"}) {
-    auto j = valid_settings();
+    auto document = valid_settings();
     const nlohmann::json::json_pointer p{path};
-    j[p.parent_pointer()].erase(p.back());
-    const auto error = error_of(j);
+    document[p.parent_pointer()].erase(p.back());
+    const auto error = error_of(document);
     EXPECT_NE(std::string::npos, error.find(p.back())) << path << ": " << error;
     EXPECT_NE(std::string::npos, error.find("missing")) << error;
-    j = valid_settings();
-    j[p] = nlohmann::json::array();
-    EXPECT_NE(std::string::npos, error_of(j).find(p.back())) << path;
+    document = valid_settings();
+    document[p] = nlohmann::json::array();
+    EXPECT_NE(std::string::npos, error_of(document).find(p.back())) << path;
   }
 }
 
 TEST(settings, addresses_must_be_numbers) {
-  auto j = valid_settings();
-  j["external"]["cloud"] = "cloud.example:80";
-  EXPECT_NE("", error_of(j));
+  auto document = valid_settings();
+  document["external"]["cloud"] = "cloud.example:80";
+  EXPECT_NE("", error_of(document));
 }
 
 TEST(settings, a_cancellation_bound_too_short_for_the_leases_is_refused) {
-  auto j = valid_settings();
-  j["facts"]["workers"]["cancel_s"] = 20;
-  EXPECT_THROW(check(parse_settings(j.dump()), Policy{}), SettingsError);
+  auto document = valid_settings();
+  document["facts"]["workers"]["cancel_s"] = 20;
+  EXPECT_THROW(check(parse_settings(document.dump()), Policy{}), SettingsError);
 }
 
 struct File {
@@ -83,7 +83,7 @@
   EXPECT_THROW(apply_properties(misspelled.path, p), SettingsError);
 }
 
-// A heuristic is added in one place; its properties, `--help` and README must follow from there.
+// A heuristic is defined in one place. Its properties must be accepted, and documented in `--help` and README.
 TEST(properties, of_every_heuristic_are_taken_and_documented) {
   std::ifstream file{std::string{MARTENWALL_TEST_DATA} + "/../../README.md"};
   std::stringstream readme;
@@ -105,16 +105,16 @@
 
 // The announced limits may have other fields than those documented at present, any subset of them, or none.
 TEST(settings, upcoming_limits_are_validated) {
-  auto v = valid_settings();
-  EXPECT_FALSE(parse_settings(v.dump()).upcoming_state_limits);
-  v["facts"]["state"]["next"] = {{"value_kb", 2}, {"colour", "blue"}, {"txn_ops", nullptr}};
-  const auto s = parse_settings(v.dump());
+  auto document = valid_settings();
+  EXPECT_FALSE(parse_settings(document.dump()).upcoming_state_limits);
+  document["facts"]["state"]["next"] = {{"value_kb", 2}, {"colour", "blue"}, {"txn_ops", nullptr}};
+  const auto s = parse_settings(document.dump());
   ASSERT_TRUE(s.upcoming_state_limits);
   EXPECT_EQ(2048U, s.upcoming_state_limits->value_bytes);
   EXPECT_FALSE(s.upcoming_state_limits->txn_ops);
   for (const auto& invalid : {R"({"value_kb":0})", R"({"txn_ops":1})", R"({"write_rps":"x"})", "[]", "7"}) {
-    v["facts"]["state"]["next"] = nlohmann::json::parse(invalid);
-    EXPECT_THROW(parse_settings(v.dump()), SettingsError) << invalid;
+    document["facts"]["state"]["next"] = nlohmann::json::parse(invalid);
+    EXPECT_THROW(parse_settings(document.dump()), SettingsError) << invalid;
   }
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -131,8 +131,8 @@
 }
 
 // On the generated days of a small site, millisecond differences in the first heartbeats of a few machines decided
-// where the first jobs were placed, and with that the whole day (docs/results.md). The first machine in order must be
-// chosen whichever reported first.
+// where the first jobs were placed, and thereby the course of the whole day (docs/results.md). The first machine in
+// order must be chosen, regardless of which machine reported first.
 TEST(heuristics, milliseconds_of_idleness_choose_no_machine) {
   for (const double first : {0.0, 0.1}) {
     TwoJobsAndMachines t;
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -56,10 +56,10 @@
     for (auto rows = take_writes(); !rows.empty(); rows = take_writes()) store(rows);
   }
   void report(std::vector<TaskStatus> tasks) {
-    auto r = report_of("i-1", HeartbeatSequence{++sequence_});
-    r.tasks = std::move(tasks);
-    scheduler.on_heartbeat(r, StatusSource::heartbeat, now, true);
-    scheduler.on_heartbeat_answered(r.machine, now);
+    auto heartbeat = report_of("i-1", HeartbeatSequence{++sequence_});
+    heartbeat.tasks = std::move(tasks);
+    scheduler.on_heartbeat(heartbeat, StatusSource::heartbeat, now, true);
+    scheduler.on_heartbeat_answered(heartbeat.machine, now);
   }
   void finish(int n) { report({{TaskId{id(n), 0}, Attempt{1}, TaskState::ended, ExitCause::done, false}}); }
   // Places, starts and completes the task of the job; its end is not stored yet.
@@ -120,7 +120,8 @@
   fixture.add(4, {1, 3});
   fixture.add(5, {});
   ASSERT_TRUE(fixture.scheduler.cancel(DependencyFixture::id(1), fixture.now));
-  // If their ends were stored before that of the root, they would have no cause in the store if this leader ended here.
+  // The ends of dependent jobs must not be stored before that of the root: if this leader ended in between, the store
+  // would not show why they were cancelled.
   const auto first = fixture.take_writes();
   ASSERT_EQ(1U, first.size());
   EXPECT_EQ(DependencyFixture::id(1), first[0].final_job->id);
--- a/tests/downlink_health_test.cpp
+++ b/tests/downlink_health_test.cpp
@@ -104,12 +104,12 @@
   // Sends one heartbeat of the first machine at this second, leaves it unanswered, and runs a cycle.
   void report_unanswered(double at_s, Incarnation incarnation, bool runs_placed_tasks) {
     now_ = Time{seconds(1000 + at_s)};
-    auto r = report_of("i-1", HeartbeatSequence{++machines_["i-1"].sequence}, incarnation, FencingToken{50});
-    const auto known = scheduler_.machines().find(r.machine);
+    auto heartbeat = report_of("i-1", HeartbeatSequence{++machines_["i-1"].sequence}, incarnation, FencingToken{50});
+    const auto known = scheduler_.machines().find(heartbeat.machine);
     for (const auto& p : known->second.placements) {
-      if (runs_placed_tasks) r.tasks.push_back({p.task, p.attempt, TaskState::running, ExitCause::none, false});
+      if (runs_placed_tasks) heartbeat.tasks.push_back({p.task, p.attempt, TaskState::running, ExitCause::none, false});
     }
-    scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
+    scheduler_.on_heartbeat(heartbeat, StatusSource::heartbeat, now_, true);
     run_cycle();
   }
   void run_cycle_at(double at_s) {
@@ -150,25 +150,26 @@
     return out;
   }
   void send_heartbeat(const char* id, bool downlink_works) {
-    auto& m = machines_[id];
-    if (now_ - m.answered > seconds(14)) {
-      ++m.incarnation;
-      m.tasks.clear();
-      m.answered = now_;
+    auto& machine = machines_[id];
+    if (now_ - machine.answered > seconds(14)) {
+      ++machine.incarnation;
+      machine.tasks.clear();
+      machine.answered = now_;
     }
-    auto r = report_of(id, HeartbeatSequence{++m.sequence}, Incarnation{m.incarnation}, FencingToken{m.token});
-    r.tasks = m.tasks;
-    const auto commands = scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true);
-    if (scheduler_.must_withhold_response(r.machine)) return;
-    scheduler_.on_heartbeat_answered(r.machine, now_);
+    auto heartbeat = report_of(id, HeartbeatSequence{++machine.sequence}, Incarnation{machine.incarnation},
+                               FencingToken{machine.token});
+    heartbeat.tasks = machine.tasks;
+    const auto commands = scheduler_.on_heartbeat(heartbeat, StatusSource::heartbeat, now_, true);
+    if (scheduler_.must_withhold_response(heartbeat.machine)) return;
+    scheduler_.on_heartbeat_answered(heartbeat.machine, now_);
     if (!downlink_works) return;
-    m.token = 50;
-    m.answered = now_;
+    machine.token = 50;
+    machine.answered = now_;
     for (const auto& command : commands) {
       if (command.verb == Command::Verb::start) {
-        m.tasks.push_back({command.task, command.attempt, TaskState::running, ExitCause::none, false});
+        machine.tasks.push_back({command.task, command.attempt, TaskState::running, ExitCause::none, false});
       } else {
-        std::erase_if(m.tasks,
+        std::erase_if(machine.tasks,
                       [&](const TaskStatus& t) { return t.task == command.task && t.attempt == command.attempt; });
       }
     }
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -56,9 +56,9 @@
   void run_for(double duration_s) {
     for (const Time until = now + seconds(duration_s); now < until; now += seconds(1)) {
       for (auto& [id, list] : tasks) {
-        auto r = report_of(id.value(), HeartbeatSequence{++sequence});
-        r.tasks = list;
-        const auto commands = scheduler.on_heartbeat(r, StatusSource::heartbeat, now, true);
+        auto heartbeat = report_of(id.value(), HeartbeatSequence{++sequence});
+        heartbeat.tasks = list;
+        const auto commands = scheduler.on_heartbeat(heartbeat, StatusSource::heartbeat, now, true);
         scheduler.on_heartbeat_answered(id, now);
         for (const auto& command : commands) execute(id, command);
       }
@@ -77,8 +77,8 @@
   }
 };
 
-// On the operations days, four in a hundred jobs fail everywhere: each retry preempted the tasks of others, and
-// machines were quarantined because of them.
+// On the operations days, four in a hundred jobs fail on every machine: each retry preempted tasks of other jobs, and
+// the failures caused machines to be quarantined.
 TEST(failure_attribution, jobs_that_always_fail_quarantine_no_machine_and_are_retried_seldom) {
   FailureFixture fixture{8};
   fixture.run_for(2);
--- a/tests/key_comparison_test.cpp
+++ b/tests/key_comparison_test.cpp
@@ -1,11 +1,11 @@
-// A transaction of conditions only checks many jobs' keys at once; a conflict names the keys that exist.
-// The fault: `wire::parse_failed_keys` looped over `list(parse(body), "failed")`. `list` returns a reference into the
-// value that `parse` made, and a range-for extends the lifetime of the outermost temporary only, so the value was
-// destroyed before the first key was read. No key was returned, `StoreClient::find_existing` reported that none of the
-// keys exists, and each poll and each dependency was read row by row from a store that allows few requests a second. It
-// was shown by `stored_bytes.keys_of_failed_conditions_are_read`, which gets `{}` in builds with and without
-// optimization, and by AddressSanitizer, which reports `heap-use-after-free` in `parse_failed_keys`.
-// The empty result was also ambiguous: either no key exists, or the response could not be read.
+// A transaction of conditions only checks many jobs' keys at once; a conflict names the keys that exist. The fault:
+// `wire::parse_failed_keys` looped over `list(parse(body), "failed")`. `list` returns a reference into the value that
+// `parse` made, and a range-for extends the lifetime of the outermost temporary only, so the value was destroyed before
+// the first key was read. No key was returned, `StoreClient::find_existing` reported that none of the keys exists, and
+// each poll and each dependency was read row by row from a store that allows few requests a second. The fault was shown
+// by `stored_bytes.keys_of_failed_conditions_are_read`, which gets `{}` in builds with and without optimization, and by
+// AddressSanitizer, which reports `heap-use-after-free` in `parse_failed_keys`. The empty result was also ambiguous:
+// either no key exists, or the response could not be read.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
--- a/tests/leader_reachability_test.cpp
+++ b/tests/leader_reachability_test.cpp
@@ -87,7 +87,8 @@
   EXPECT_EQ(LeaderReachabilityState::reachable, reachability.state());
 }
 
-// On one generated day with two of three nodes silent, a worker returned after ten seconds, too late to be counted.
+// On one generated day with two of three nodes unresponsive, a worker returned after ten seconds, too late to be
+// counted.
 TEST(leader_reachability, a_redirected_worker_counts_for_some_seconds) {
   RedirectedWorkers workers;
   const Time now{seconds(100)};
--- a/tests/matcher_test.cpp
+++ b/tests/matcher_test.cpp
@@ -164,7 +164,7 @@
   RC_ASSERT(lazy == reference);
 }
 
-// At the registry site, a fifth of the machine time of the signing gangs was lost where an image takes longer to fetch
+// At the registry site, a fifth of the machine time of the signing gangs was lost if an image takes longer to fetch
 // than a task waits for its gang: the tasks that had the image gave up, and the others then abandoned their fetches.
 RC_GTEST_PROP(matcher, a_gang_with_a_uniform_image_is_all_cached_or_all_cold, ()) {
   GeneratedProblem scene;
--- a/tests/overload_admission_test.cpp
+++ b/tests/overload_admission_test.cpp
@@ -23,7 +23,7 @@
 }
 
 TEST(overload_admission, changes_nothing_where_all_can_be_in_time) {
-  // One request is late for its first target, one for its only one. No pool is short, so nothing is deferred.
+  // One request is late for its first target, another for its only target. No pool is short, so nothing is deferred.
   const auto results =
       load::plan_admission({pool(10, 10)}, {request(5, 10, {50}), request(5, 10, {-5, 20}), request(1, 10, {-9})}, 1);
   for (const auto& result : results) EXPECT_EQ(0U, result.first_met_target);
@@ -90,7 +90,8 @@
   return out;
 }
 
-// Returns whether all chosen requests can start by their first targets, in the order of these, as capacity is freed.
+// Returns whether all chosen requests can start by their first targets, in the order of those targets, as capacity is
+// freed.
 bool feasible(const std::vector<WorkRequest>& requests, const std::vector<std::size_t>& chosen, double rate) {
   auto order = chosen;
   std::ranges::stable_sort(order, {}, [&](auto i) { return requests[i].latest_start_s[0]; });
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -31,10 +31,10 @@
   }
   Heartbeat report(const char* id, std::vector<TaskStatus> tasks = {}, const char* zone = "a",
                    std::uint64_t token = 50) {
-    auto r = report_of(id, HeartbeatSequence{++sequence}, Incarnation{1}, FencingToken{token});
-    r.zone = std::string{zone};
-    r.tasks = std::move(tasks);
-    return r;
+    auto heartbeat = report_of(id, HeartbeatSequence{++sequence}, Incarnation{1}, FencingToken{token});
+    heartbeat.zone = std::string{zone};
+    heartbeat.tasks = std::move(tasks);
+    return heartbeat;
   }
   std::vector<Command> send_heartbeat(const char* id, std::vector<TaskStatus> tasks = {}, const char* zone = "a",
                                       std::uint64_t token = 50) {
--- a/tests/shortage_test.cpp
+++ b/tests/shortage_test.cpp
@@ -76,13 +76,14 @@
     Time until{};
   };
   void report(const char* id) {
-    auto r = report_of(id, HeartbeatSequence{++sequence_});
+    auto heartbeat = report_of(id, HeartbeatSequence{++sequence_});
     for (const auto& [task, t] : tasks_[id]) {
       const bool ended = now_ >= t.until;
-      r.tasks.push_back({task, t.attempt, ended ? TaskState::ended : TaskState::running,
-                         ended ? ExitCause::done : ExitCause::none, false});
+      heartbeat.tasks.push_back({task, t.attempt, ended ? TaskState::ended : TaskState::running,
+                                 ended ? ExitCause::done : ExitCause::none, false});
     }
-    for (const auto& command : scheduler_.on_heartbeat(r, StatusSource::heartbeat, now_, true)) execute(id, command);
+    for (const auto& command : scheduler_.on_heartbeat(heartbeat, StatusSource::heartbeat, now_, true))
+      execute(id, command);
     scheduler_.on_heartbeat_answered(MachineId{id}, now_);
     for (const auto& [job, end] : ends_) {
       const auto* known = scheduler_.find_job(job);
@@ -173,8 +174,8 @@
 
 const MachineType four_cpus{"g", {4, 0, 16}, 1000, 1, 0.2, 0.05, 30, {"a"}};
 
-// On a day of the boundary survey site, capacity within a limit became free one CPU at a time, and tasks of four CPUs
-// never found four.
+// On a day of the boundary survey site, capacity within a limit became free one CPU at a time, so tasks of four CPUs
+// never got four at once.
 TEST(shortage, small_tasks_leave_headroom_for_a_larger_one_within_the_limit) {
   ShortageFixture without{limited_team_options(false, 0), four_cpus};
   run_limited_team(without);
@@ -184,7 +185,7 @@
   EXPECT_TRUE(with.began(2));
 }
 
-// The same if the short tasks are not late: they have precedence, and the large one still begins.
+// The large task also begins if the short tasks are not late and have precedence.
 TEST(shortage, a_job_without_started_tasks_gets_its_first_task) {
   for (const double begin : {0.0, 9.0}) {
     ShortageFixture fixture{limited_team_options(true, begin), four_cpus};
@@ -202,8 +203,8 @@
   }
 }
 
-// Arrays of thousands of tasks in a team with a limit of few CPUs request no more capacity than their limit allows, so
-// jobs of other teams with a lower priority are not deferred for them.
+// Arrays of thousands of tasks in a team with a low CPU limit request no more capacity than that limit allows, so jobs
+// of other teams with a lower priority are not deferred to make capacity available to these arrays.
 TEST(shortage, no_machines_are_wanted_for_what_a_limit_keeps_from_starting) {
   auto options = ShortageFixture::options(40);
   options.teams = {{"red", {2, 0, 0}, {2, 0, 0}}, {"blue", {2, 0, 0}, {1e6, 0, 0}}};
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -51,7 +51,8 @@
   }
 };
 
-// inc-d2ba: small transactions used each change that the rate limit allowed, so a large one never found enough.
+// inc-d2ba: small transactions used all changes that the rate limit allowed, so a large transaction never got enough of
+// them.
 TEST(store_client, a_large_transaction_does_not_starve) {
   Store s;
   rt::spawn(s.server.serve());
--- a/tests/task_rows_test.cpp
+++ b/tests/task_rows_test.cpp
@@ -12,7 +12,7 @@
 struct SplitRowFixture {
   Time now{seconds(1000)};
   std::map<RowKey, TaskRow> store;
-  std::map<std::uint32_t, Attempt> on_machine;  // as the worker knows it
+  std::map<std::uint32_t, Attempt> on_machine;  // according to the worker
   std::set<std::uint32_t> ended;                // done, still reported by the worker
   std::set<std::uint32_t> reaped;               // done, deleted by the worker
   std::uint64_t max_used_attempt = 0;
@@ -46,13 +46,14 @@
     scheduler.add_job(job(), now);
   }
   void send_heartbeat() {
-    auto r = report_of("i-1", HeartbeatSequence{++sequence});
+    auto heartbeat = report_of("i-1", HeartbeatSequence{++sequence});
     for (const auto& [index, attempt] : on_machine) {
       const bool has_ended = ended.contains(index);
-      r.tasks.push_back({TaskId{JobId{"job-1"}, index}, attempt, has_ended ? TaskState::ended : TaskState::running,
-                         has_ended ? ExitCause::done : ExitCause::none, false});
+      heartbeat.tasks.push_back({TaskId{JobId{"job-1"}, index}, attempt,
+                                 has_ended ? TaskState::ended : TaskState::running,
+                                 has_ended ? ExitCause::done : ExitCause::none, false});
     }
-    for (const auto& command : scheduler.on_heartbeat(r, StatusSource::heartbeat, now, true)) {
+    for (const auto& command : scheduler.on_heartbeat(heartbeat, StatusSource::heartbeat, now, true)) {
       if (command.verb == Command::Verb::start) {
         on_machine.emplace(command.task.index, command.attempt);
         max_used_attempt = std::max(max_used_attempt, command.attempt.value());
@@ -62,7 +63,7 @@
         reaped.insert(command.task.index);
       }
     }
-    scheduler.on_heartbeat_answered(r.machine, now);
+    scheduler.on_heartbeat_answered(heartbeat.machine, now);
   }
   void finish(std::uint8_t selector) {
     for (const auto& [index, attempt] : on_machine) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -34,26 +34,26 @@
 }
 
 RC_GTEST_PROP(user_codec, a_job_survives_its_encoding, ()) {
-  const auto s = any_spec();
-  const auto parsed = parse_job(encode_job(s).dump());
+  const auto spec = any_spec();
+  const auto parsed = parse_job(encode_job(spec).dump());
   RC_ASSERT(parsed.has_value());
-  RC_ASSERT(encode_job(*parsed) == encode_job(s));
+  RC_ASSERT(encode_job(*parsed) == encode_job(spec));
 }
 
 RC_GTEST_PROP(user_codec, each_missing_or_ill_typed_field_is_refused, ()) {
-  auto s = any_spec();
-  s.types.reset();
-  s.zone.reset();
-  s.deadline_s.reset();
-  auto o = encode_job(s);
-  const auto index = *rc::gen::inRange<std::size_t>(0, o.size());
-  const auto name = std::next(o.begin(), static_cast<std::ptrdiff_t>(index)).key();
+  auto spec = any_spec();
+  spec.types.reset();
+  spec.zone.reset();
+  spec.deadline_s.reset();
+  auto document = encode_job(spec);
+  const auto index = *rc::gen::inRange<std::size_t>(0, document.size());
+  const auto name = std::next(document.begin(), static_cast<std::ptrdiff_t>(index)).key();
   if (*rc::gen::arbitrary<bool>()) {
-    o.erase(name);
+    document.erase(name);
   } else {
-    o[name] = json::array({1});
+    document[name] = json::array({1});
   }
-  const auto parsed = parse_job(o.dump());
+  const auto parsed = parse_job(document.dump());
   RC_ASSERT(!parsed.has_value());
   RC_ASSERT(parsed.error().code == ErrorCode::invalid_argument);
   RC_ASSERT(parsed.error().message.find(name) != std::string::npos);
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -241,7 +241,7 @@
             if e["kind"] not in STAND_IN_EVENTS + RUNNER_EVENTS:
                 raise PlanError(f"event: unknown kind '{e['kind']}'")
         self.runner_events = [e for e in self.events if e["kind"] in RUNNER_EVENTS]
-        self.restarts = []  # (when, process)
+        self.restarts = []  # (time, process)
         self.killed = []
         self.ended_by_itself = []
         state, self.control, cloud = ports.allocate(), ports.allocate(), ports.allocate()
